--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -1,10 +1,11 @@
-//! Texts of statements that are too large for the ordinary path: each is kept for further executions in memory, else in
-//! a file, else not at all. `ledger` decides where, without I/O; `spool` does the files on threads beside the core; `keeper`
-//! carries out what the ledger asks for, and `Body` is what an execution sends.
+//! Bodies of statements that are too large for the ordinary path: each is kept for further executions in
+//! memory, else in a file, else not at all. `accounting` decides where, without I/O; `spool` reads and writes
+//! the files on I/O threads; `store` carries out what `accounting` decides, and its `Body` is what an
+//! execution sends.
 
-pub mod keeper;
-pub mod ledger;
+pub mod accounting;
 pub mod spool;
+pub mod store;
 
-pub use keeper::{Body, Keeper, Outgoing};
-pub use ledger::{Bounds, Files, Ledger, Refusal, Tier};
+pub use accounting::{BodyAccounting, Bounds, FileBounds, Refusal, Tier};
+pub use store::{Body, BodyStore, Outgoing};
--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -1,5 +1,6 @@
-//! Files that hold bodies: written and read on a bounded number of threads beside the core, never on it. A file has no
-//! name: it is gone with the process, however that ends. Each chunk has a checksum, looked at whenever it is read.
+//! Spool files for statement bodies, written and read on a bounded number of I/O threads so that the event
+//! loop never blocks on a disk. The files are unlinked, so the system frees them however the process ends.
+//! Each chunk has a checksum that is verified on every read.
 
 use bytes::Bytes;
 use std::fmt;
@@ -12,161 +13,181 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Bytes of a body that are written, checked and read together.
-pub const CHUNK: usize = 64 * 1024;
-/// Jobs that wait for a thread; each body has one at a time, so that this bounds nothing but a flood.
-const WAITING: usize = 1024;
-/// Of zstd: the fastest that still halves a text.
-const LEVEL: i32 = 1;
-
-/// A file of a spool; another one than the system's in tests.
-pub trait Store: Send + Sync {
-    fn write_all_at(&self, bytes: &[u8], at: u64) -> io::Result<()>;
-    fn read_exact_at(&self, bytes: &mut [u8], at: u64) -> io::Result<()>;
+/// Unit in which a body is written, checksummed and read, in bytes.
+pub const CHUNK_BYTES: usize = 64 * 1024;
+/// Limit on jobs queued for the I/O threads. Each body has one job at a time, so only a flood of bodies
+/// reaches it.
+const MAX_QUEUED_JOBS: usize = 1024;
+/// The fastest level that still halves a typical statement.
+const ZSTD_LEVEL: i32 = 1;
+
+/// A file that holds one body. Tests replace it with one that fails on demand.
+pub trait SpoolFile: Send + Sync {
+    /// Writes all of `bytes` at this offset.
+    fn write_all_at(&self, bytes: &[u8], offset: u64) -> io::Result<()>;
+    /// Fills `bytes` from this offset; fails if the file ends before that.
+    fn read_exact_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()>;
 }
 
-/// Where files are made.
+/// Creates spool files.
 pub trait Disk: Send + Sync {
-    fn create(&self) -> io::Result<Box<dyn Store>>;
+    /// Creates an empty file.
+    fn create(&self) -> io::Result<Box<dyn SpoolFile>>;
 }
 
-impl Store for File {
-    fn write_all_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        std::os::unix::fs::FileExt::write_all_at(self, bytes, at)
+impl SpoolFile for File {
+    fn write_all_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        std::os::unix::fs::FileExt::write_all_at(self, bytes, offset)
     }
 
-    fn read_exact_at(&self, bytes: &mut [u8], at: u64) -> io::Result<()> {
-        std::os::unix::fs::FileExt::read_exact_at(self, bytes, at)
+    fn read_exact_at(&self, bytes: &mut [u8], offset: u64) -> io::Result<()> {
+        std::os::unix::fs::FileExt::read_exact_at(self, bytes, offset)
     }
 }
 
-const PREFIX: &str = "bodies-";
-const NEW: &str = "new-bodies-";
-const LOCK: &str = "lock";
-/// A folder that is older was made long ago.
-const MADE: Duration = Duration::from_secs(60);
+const DIRECTORY_PREFIX: &str = "bodies-";
+const TEMPORARY_PREFIX: &str = "new-bodies-";
+const LOCK_FILE: &str = "lock";
+/// An unfinished directory older than this belongs to a process that died while creating it.
+const STALE_AFTER: Duration = Duration::from_secs(60);
 
-/// A folder of this process's own below the one that is named, and held by a lock as long as the process lives: what others
-/// left behind that have died is removed, and a living neighbour's is not touched.
-pub struct Folder {
+/// This process's own directory below the configured one. A file lock marks it as in use while the process
+/// lives: opening removes the directories of processes that have died and leaves those of running neighbours
+/// alone.
+pub struct SpoolDirectory {
     path: PathBuf,
     _lock: File,
-    /// Folders of dead processes that were removed.
+    /// How many directories of dead processes were removed.
     pub removed: usize,
 }
 
-impl Folder {
-    pub fn open(dir: &Path) -> io::Result<Folder> {
+impl SpoolDirectory {
+    /// Removes the directories of dead processes below `dir` and creates one for this process.
+    pub fn open(dir: &Path) -> io::Result<SpoolDirectory> {
         let mut removed = 0;
         for entry in fs::read_dir(dir)?.flatten() {
             let name = entry.file_name().to_string_lossy().into_owned();
-            // One that is being made is not locked for a moment.
-            let new = || {
+            // A directory that another process is creating has no lock for a moment.
+            let is_stale = || {
                 entry
                     .metadata()
                     .and_then(|m| m.modified())
-                    .is_ok_and(|at| at.elapsed().is_ok_and(|t| t > MADE))
+                    .is_ok_and(|at| at.elapsed().is_ok_and(|t| t > STALE_AFTER))
             };
-            let named = name.starts_with(PREFIX) || name.starts_with(NEW) && new();
-            if named && entry.file_type().is_ok_and(|kind| kind.is_dir()) && is_left(&entry.path()) {
+            let is_spool_directory =
+                name.starts_with(DIRECTORY_PREFIX) || name.starts_with(TEMPORARY_PREFIX) && is_stale();
+            if is_spool_directory
+                && entry.file_type().is_ok_and(|kind| kind.is_dir())
+                && is_abandoned(&entry.path())
+            {
                 removed += usize::from(fs::remove_dir_all(entry.path()).is_ok());
             }
         }
-        // Made under another name, and renamed once it is locked: no neighbour finds it without its lock.
-        let made = tempfile::Builder::new().prefix(NEW).tempdir_in(dir)?;
-        let lock = File::create_new(made.path().join(LOCK))?;
+        // Created under a temporary name and renamed once locked, so that no neighbour finds it unlocked.
+        let temporary = tempfile::Builder::new().prefix(TEMPORARY_PREFIX).tempdir_in(dir)?;
+        let lock = File::create_new(temporary.path().join(LOCK_FILE))?;
         lock.try_lock().map_err(|e| io::Error::other(e.to_string()))?;
-        let made = made.keep();
-        let own = made.file_name().unwrap_or_default().to_string_lossy().replace(NEW, PREFIX);
-        let path = dir.join(own);
-        fs::rename(&made, &path)?;
-        Ok(Folder { path, _lock: lock, removed })
+        let temporary = temporary.keep();
+        let name = temporary
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .replace(TEMPORARY_PREFIX, DIRECTORY_PREFIX);
+        let path = dir.join(name);
+        fs::rename(&temporary, &path)?;
+        Ok(SpoolDirectory { path, _lock: lock, removed })
     }
 
+    /// The directory of this process.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// At the end, when no file is made any more: the files themselves have no names.
+    /// Removes the directory, for use once no more files are created. Open files are unlinked already and
+    /// stay usable.
     pub fn remove(&self) {
         let _ = fs::remove_dir_all(&self.path);
     }
 }
 
-/// Its owner lives no longer. A folder has its lock before it has its name, so one without was removed in part.
-fn is_left(folder: &Path) -> bool {
-    match File::open(folder.join(LOCK)) {
+/// Whether the owner has died. A directory gets its final name only after its lock, so one without a lock
+/// file was partly removed.
+fn is_abandoned(directory: &Path) -> bool {
+    match File::open(directory.join(LOCK_FILE)) {
         Ok(lock) => lock.try_lock().is_ok(),
         Err(error) => error.kind() == io::ErrorKind::NotFound,
     }
 }
 
-impl Disk for Folder {
-    fn create(&self) -> io::Result<Box<dyn Store>> {
+impl Disk for SpoolDirectory {
+    fn create(&self) -> io::Result<Box<dyn SpoolFile>> {
         Ok(Box::new(tempfile::tempfile_in(&self.path)?))
     }
 }
 
-impl Drop for Folder {
+impl Drop for SpoolDirectory {
     fn drop(&mut self) {
         self.remove();
     }
 }
 
+/// Why a spool file could not be written or read.
 #[derive(Debug)]
-pub enum Fault {
-    /// The disk is full, or a quota is.
+pub enum SpoolError {
+    /// The disk or a quota is full.
     Full,
+    /// Any other error of the system.
     Io(io::Error),
-    /// What was read is not what was written.
+    /// The data read differs from the data written.
     Checksum,
-    /// More jobs wait than threads can do.
+    /// The job queue of the I/O threads is full.
     Busy,
 }
 
-impl From<io::Error> for Fault {
-    fn from(error: io::Error) -> Fault {
+impl From<io::Error> for SpoolError {
+    fn from(error: io::Error) -> SpoolError {
         match error.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
-                Fault::Full
+                SpoolError::Full
             }
-            _ => Fault::Io(error),
+            _ => SpoolError::Io(error),
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SpoolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Full => f.write_str("no room left"),
-            Fault::Io(error) => write!(f, "{error}"),
-            Fault::Checksum => f.write_str("what was read is not what was written"),
-            Fault::Busy => f.write_str("too many jobs wait"),
+            SpoolError::Full => f.write_str("no space left"),
+            SpoolError::Io(error) => write!(f, "{error}"),
+            SpoolError::Checksum => f.write_str("checksum mismatch: the data read is not the data written"),
+            SpoolError::Busy => f.write_str("the job queue is full"),
         }
     }
 }
 
-/// Where a chunk stands in its file, and what it must be.
+/// Position of a chunk in its file, and what its data must match.
 #[derive(Clone, Copy, Debug)]
 struct Chunk {
-    at: u64,
+    offset: u64,
     stored: u32,
     length: u32,
     checksum: u32,
-    packed: bool,
+    compressed: bool,
 }
 
-/// The file of one body: it is made with its first chunk, and gone with the last handle.
+/// The file of one body, created with its first chunk and closed with its last handle.
 #[derive(Default)]
-struct Spooled {
-    store: Option<Box<dyn Store>>,
+struct SpoolState {
+    file: Option<Box<dyn SpoolFile>>,
     chunks: Vec<Chunk>,
     end: u64,
 }
 
-/// A body's file. Chunks are appended by one at a time; any number of readers may read what is there.
+/// Shared handle to the spool file of a body. One writer at a time appends chunks; any number of readers may
+/// read.
 #[derive(Clone, Default)]
-pub struct Spool(Arc<Mutex<Spooled>>);
+pub struct Spool(Arc<Mutex<SpoolState>>);
 
 impl fmt::Debug for Spool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -175,150 +196,162 @@
 }
 
 enum Job {
-    Write(Spool, Vec<Bytes>, oneshot::Sender<Result<(), Fault>>),
-    Read(Spool, usize, oneshot::Sender<Result<Bytes, Fault>>),
-    /// What is dropped may close a file, which on a bad disk takes its time.
-    Drop(Spool),
+    Write(Spool, Vec<Bytes>, oneshot::Sender<Result<(), SpoolError>>),
+    Read(Spool, usize, oneshot::Sender<Result<Bytes, SpoolError>>),
+    /// Closes the file if this is its last handle, which can take long on a bad disk.
+    Close(Spool),
 }
 
-/// The threads. Dropped, they end once what waits is done.
-pub struct Threads {
+/// Pool of I/O threads. When it is dropped, the threads end after the queued jobs.
+pub struct IoThreads {
     jobs: SyncSender<Job>,
-    packs: bool,
-    /// Bytes that came, and what of them was written.
-    pub came: Arc<AtomicU64>,
-    pub written: Arc<AtomicU64>,
+    compress: bool,
+    /// Bytes handed over for writing.
+    pub bytes_received: Arc<AtomicU64>,
+    /// Bytes written to files, after compression.
+    pub bytes_written: Arc<AtomicU64>,
 }
 
-impl Threads {
-    /// `packs`: chunks are compressed where that makes them smaller.
-    pub fn start(disk: Arc<dyn Disk>, threads: usize, packs: bool) -> io::Result<Threads> {
-        // A limit of the system's on the size of files is a full disk, and its signal ends nothing.
+impl IoThreads {
+    /// Starts the threads. With `compress`, chunks are stored compressed where that makes them smaller.
+    pub fn start(disk: Arc<dyn Disk>, threads: usize, compress: bool) -> io::Result<IoThreads> {
+        // A write beyond RLIMIT_FSIZE must fail like a full disk; without a handler, SIGXFSZ would end the
+        // process.
         signal_hook::flag::register(signal_hook::consts::SIGXFSZ, Arc::default())?;
-        let (jobs, waiting) = sync_channel(WAITING);
-        let waiting = Arc::new(Mutex::new(waiting));
-        let (came, written) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+        let (jobs, queue) = sync_channel(MAX_QUEUED_JOBS);
+        let queue = Arc::new(Mutex::new(queue));
+        let (bytes_received, bytes_written) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         for number in 0..threads.max(1) {
-            let (waiting, disk) = (waiting.clone(), disk.clone());
-            let (came, written) = (came.clone(), written.clone());
+            let (queue, disk) = (queue.clone(), disk.clone());
+            let (bytes_received, bytes_written) = (bytes_received.clone(), bytes_written.clone());
             std::thread::Builder::new()
                 .name(format!("spool-{number}"))
-                .spawn(move || work(&waiting, &*disk, packs, &came, &written))?;
+                .spawn(move || run_jobs(&queue, &*disk, compress, &bytes_received, &bytes_written))?;
         }
-        Ok(Threads { jobs, packs, came, written })
+        Ok(IoThreads { jobs, compress, bytes_received, bytes_written })
     }
 
-    pub fn packs(&self) -> bool {
-        self.packs
+    /// Whether chunks are compressed.
+    pub fn compress(&self) -> bool {
+        self.compress
     }
 
-    fn give(&self, job: Job) -> Result<(), Fault> {
+    fn submit(&self, job: Job) -> Result<(), SpoolError> {
         self.jobs.try_send(job).map_err(|full| match full {
-            TrySendError::Full(_) => Fault::Busy,
-            TrySendError::Disconnected(_) => Fault::Io(io::ErrorKind::BrokenPipe.into()),
+            TrySendError::Full(_) => SpoolError::Busy,
+            TrySendError::Disconnected(_) => SpoolError::Io(io::ErrorKind::BrokenPipe.into()),
         })
     }
 
-    /// Appends these pieces, as chunks.
-    pub async fn write(&self, spool: &Spool, pieces: Vec<Bytes>) -> Result<(), Fault> {
-        let (told, done) = oneshot::channel();
-        self.give(Job::Write(spool.clone(), pieces, told))?;
-        done.await.unwrap_or_else(|_| Err(Fault::Io(io::ErrorKind::BrokenPipe.into())))
+    /// Appends these pieces as chunks.
+    pub async fn write(&self, spool: &Spool, pieces: Vec<Bytes>) -> Result<(), SpoolError> {
+        let (reply, result) = oneshot::channel();
+        self.submit(Job::Write(spool.clone(), pieces, reply))?;
+        result.await.unwrap_or_else(|_| Err(SpoolError::Io(io::ErrorKind::BrokenPipe.into())))
     }
 
-    /// The chunk of this number.
-    pub async fn read(&self, spool: &Spool, chunk: usize) -> Result<Bytes, Fault> {
-        let (told, done) = oneshot::channel();
-        self.give(Job::Read(spool.clone(), chunk, told))?;
-        done.await.unwrap_or_else(|_| Err(Fault::Io(io::ErrorKind::BrokenPipe.into())))
+    /// Reads the chunk with this number.
+    pub async fn read(&self, spool: &Spool, chunk: usize) -> Result<Bytes, SpoolError> {
+        let (reply, result) = oneshot::channel();
+        self.submit(Job::Read(spool.clone(), chunk, reply))?;
+        result.await.unwrap_or_else(|_| Err(SpoolError::Io(io::ErrorKind::BrokenPipe.into())))
     }
 
-    /// Has a thread close the file.
-    pub fn drop_spool(&self, spool: Spool) {
-        let _ = self.give(Job::Drop(spool));
+    /// Closes the file on an I/O thread.
+    pub fn close(&self, spool: Spool) {
+        let _ = self.submit(Job::Close(spool));
     }
 }
 
-fn work(waiting: &Mutex<Receiver<Job>>, disk: &dyn Disk, packs: bool, came: &AtomicU64, written: &AtomicU64) {
+fn run_jobs(
+    queue: &Mutex<Receiver<Job>>,
+    disk: &dyn Disk,
+    compress: bool,
+    bytes_received: &AtomicU64,
+    bytes_written: &AtomicU64,
+) {
     loop {
-        let job = waiting.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).recv();
+        let job = queue.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).recv();
         match job {
-            Ok(Job::Write(spool, pieces, told)) => {
-                let done = spool.write(disk, &pieces, packs, came, written);
-                let _ = told.send(done);
+            Ok(Job::Write(spool, pieces, reply)) => {
+                let result = spool.write(disk, &pieces, compress, bytes_received, bytes_written);
+                let _ = reply.send(result);
             }
-            Ok(Job::Read(spool, chunk, told)) => {
-                let _ = told.send(spool.read(chunk));
+            Ok(Job::Read(spool, chunk, reply)) => {
+                let _ = reply.send(spool.read(chunk));
             }
-            Ok(Job::Drop(spool)) => drop(spool),
+            Ok(Job::Close(spool)) => drop(spool),
             Err(_) => return,
         }
     }
 }
 
 impl Spool {
-    fn lock(&self) -> std::sync::MutexGuard<'_, Spooled> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, SpoolState> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// How many chunks the file holds.
     pub fn chunks(&self) -> usize {
         self.lock().chunks.len()
     }
 
-    /// All of the pieces or none: what a failed write left behind is written over by nobody and never read.
+    /// Appends all of the pieces or none. Bytes of a failed write have no chunk entry, so they are never
+    /// read.
     fn write(
         &self,
         disk: &dyn Disk,
         pieces: &[Bytes],
-        packs: bool,
-        came: &AtomicU64,
-        written: &AtomicU64,
-    ) -> Result<(), Fault> {
-        let mut spooled = self.lock();
-        let spooled = &mut *spooled;
-        let store = match &mut spooled.store {
-            Some(store) => store,
-            none => none.insert(disk.create()?),
+        compress: bool,
+        bytes_received: &AtomicU64,
+        bytes_written: &AtomicU64,
+    ) -> Result<(), SpoolError> {
+        let mut state = self.lock();
+        let state = &mut *state;
+        let file = match &mut state.file {
+            Some(file) => file,
+            slot => slot.insert(disk.create()?),
         };
-        let (before, mut end) = (spooled.chunks.len(), spooled.end);
-        let chunks = pieces.iter().flat_map(|piece| piece.chunks(CHUNK));
+        let (before, mut end) = (state.chunks.len(), state.end);
+        let chunks = pieces.iter().flat_map(|piece| piece.chunks(CHUNK_BYTES));
         for bytes in chunks {
-            let packed = if packs { zstd::bulk::compress(bytes, LEVEL).ok() } else { None };
-            let packed = packed.filter(|packed| packed.len() < bytes.len());
-            let stored = packed.as_deref().unwrap_or(bytes);
-            if let Err(error) = store.write_all_at(stored, end) {
-                spooled.chunks.truncate(before);
+            let compressed = if compress { zstd::bulk::compress(bytes, ZSTD_LEVEL).ok() } else { None };
+            let compressed = compressed.filter(|compressed| compressed.len() < bytes.len());
+            let stored = compressed.as_deref().unwrap_or(bytes);
+            if let Err(error) = file.write_all_at(stored, end) {
+                state.chunks.truncate(before);
                 return Err(error.into());
             }
-            spooled.chunks.push(Chunk {
-                at: end,
+            state.chunks.push(Chunk {
+                offset: end,
                 stored: stored.len() as u32,
                 length: bytes.len() as u32,
                 checksum: crc32fast::hash(bytes),
-                packed: packed.is_some(),
+                compressed: compressed.is_some(),
             });
             end += stored.len() as u64;
-            came.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-            written.fetch_add(stored.len() as u64, Ordering::Relaxed);
+            bytes_received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+            bytes_written.fetch_add(stored.len() as u64, Ordering::Relaxed);
         }
-        spooled.end = end;
+        state.end = end;
         Ok(())
     }
 
-    fn read(&self, number: usize) -> Result<Bytes, Fault> {
-        let spooled = self.lock();
-        let chunk = spooled.chunks.get(number).copied();
-        let (Some(chunk), Some(store)) = (chunk, &spooled.store) else { return Err(Fault::Checksum) };
+    fn read(&self, number: usize) -> Result<Bytes, SpoolError> {
+        let state = self.lock();
+        let chunk = state.chunks.get(number).copied();
+        let (Some(chunk), Some(file)) = (chunk, &state.file) else { return Err(SpoolError::Checksum) };
         let mut bytes = vec![0; chunk.stored as usize];
-        // A file that was cut short is as wrong as one whose bytes have changed.
-        store.read_exact_at(&mut bytes, chunk.at).map_err(|error| match error.kind() {
-            io::ErrorKind::UnexpectedEof => Fault::Checksum,
-            _ => Fault::Io(error),
+        // A truncated file counts as corrupted, just like one whose bytes have changed.
+        file.read_exact_at(&mut bytes, chunk.offset).map_err(|error| match error.kind() {
+            io::ErrorKind::UnexpectedEof => SpoolError::Checksum,
+            _ => SpoolError::Io(error),
         })?;
-        if chunk.packed {
-            bytes = zstd::bulk::decompress(&bytes, chunk.length as usize).map_err(|_| Fault::Checksum)?;
+        if chunk.compressed {
+            bytes =
+                zstd::bulk::decompress(&bytes, chunk.length as usize).map_err(|_| SpoolError::Checksum)?;
         }
-        let good = bytes.len() == chunk.length as usize && crc32fast::hash(&bytes) == chunk.checksum;
-        good.then(|| bytes.into()).ok_or(Fault::Checksum)
+        let valid = bytes.len() == chunk.length as usize && crc32fast::hash(&bytes) == chunk.checksum;
+        valid.then(|| bytes.into()).ok_or(SpoolError::Checksum)
     }
 }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -538,7 +538,7 @@
                     timeout(within, self.reply(sent)).await.ok()
                 }
                 Text::Body(body) => {
-                    let Some(outgoing) = body.send() else { return Call::NoRoom };
+                    let Some(outgoing) = body.start_sending() else { return Call::NoRoom };
                     let upload = Upload::new(&outgoing, connection.clone());
                     let sent = request.send_body(Sending::new(outgoing, upload.cut()));
                     upload.watch(within, may.arrive, self.reply(sent)).await
@@ -552,13 +552,13 @@
             way.leave();
             if connection.sent() {
                 return match text {
-                    Text::Body(body) if body.is_broken() || body.is_spoilt() => Call::Broken,
+                    Text::Body(body) if body.is_aborted() || body.is_corrupted() => Call::Broken,
                     _ if is_silent => Call::Silent,
                     _ => Call::Lost,
                 };
             }
             if let Text::Body(body) = text {
-                body.take_back();
+                body.return_unsent();
             }
         }
         // The engine has no part in a pause of this process.
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -317,8 +317,8 @@
         Text::Whole(text) => said.table_group = tables::group(text),
         Text::Body(body) => {
             said.kept = rest.is_none();
-            said.table_group = tables::group_of_part(&body.beginning());
-            unkept = Some(body.unkept());
+            said.table_group = tables::group_of_part(&body.take_prefix());
+            unkept = Some(body.not_kept());
         }
     }
     parcel.text = text;
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -87,10 +87,10 @@
         return Ok(());
     }
     let strict = at.is_some_and(|at| core.strict[at]);
-    let refused = match core.bodies.would_take(length, strict) {
+    let refused = match core.bodies.check_admission(length, strict) {
         Ok(_) => return Ok(()),
         Err(Refusal::TooLarge) => refusal(TOO_LARGE.0, TOO_LARGE.1),
-        Err(Refusal::NoRoom) => next("", Some(Answer::Rejected(core.stay_away))),
+        Err(Refusal::NoCapacity) => next("", Some(Answer::Rejected(core.stay_away))),
     };
     Err(close_behind(refused, None))
 }
@@ -104,7 +104,7 @@
     text_by: Instant,
     connection: Option<&Connection>,
 ) -> Result<Came, Refused> {
-    let (ordinary, largest) = (core.bounds.statement as u64, core.bodies.largest());
+    let (ordinary, largest) = (core.bounds.statement as u64, core.bodies.max_body());
     let told = told_length(headers);
     if told.is_some_and(|length| length > largest) {
         return Err(TOO_LARGE);
@@ -137,7 +137,7 @@
     let body = match core.bodies.begin(told, core.strict[workload]) {
         Ok(body) => body,
         Err(Refusal::TooLarge) => return Err(TOO_LARGE),
-        Err(Refusal::NoRoom) => return Ok(Came::NoRoom),
+        Err(Refusal::NoCapacity) => return Ok(Came::NoRoom),
     };
     let mut rest = Rest { payload, body: body.clone(), look: Look::default(), by: text_by };
     for part in parts {
@@ -146,7 +146,7 @@
         }
     }
     loop {
-        if body.tier() == Tier::NotKept && body.got() >= FIRST {
+        if body.tier() == Tier::NotKept && body.received() >= FIRST {
             return Ok(Came::Passing(body, Box::new(rest)));
         }
         match rest.next(core).await? {
@@ -184,7 +184,7 @@
 impl Rest {
     /// The next piece; none at the end. A text has the ordinary time, and more as it grows.
     async fn next(&mut self, core: &Core) -> Result<Option<Bytes>, Refused> {
-        let by = self.by + Duration::from_secs_f64(self.body.got() as f64 / core.slowest.max(1) as f64);
+        let by = self.by + Duration::from_secs_f64(self.body.received() as f64 / core.slowest.max(1) as f64);
         let part = timeout_at(by.into(), self.payload.next()).await.map_err(|_| TOO_SLOW)?;
         part.transpose().map_err(|_| NOT_WHOLE)
     }
@@ -205,7 +205,7 @@
             return Err(NO_TEXT);
         }
         connection.into_iter().for_each(|connection| connection.has_come(AHEAD));
-        let ended = self.body.end().await;
+        let ended = self.body.finish().await;
         self.refused(ended)
     }
 
@@ -213,13 +213,13 @@
         match put {
             Ok(()) => Ok(None),
             Err(Refusal::TooLarge) => Err(TOO_LARGE),
-            Err(Refusal::NoRoom) => Ok(Some(Came::NoRoom)),
+            Err(Refusal::NoCapacity) => Ok(Some(Came::NoRoom)),
         }
     }
 
     /// The rest of a text that is not kept, to the engine that has it.
     pub async fn pass_on(&mut self, core: &Core, connection: Option<&Connection>) -> Result<(), Refused> {
-        while !self.body.is_whole() {
+        while !self.body.is_complete() {
             match self.next(core).await? {
                 Some(part) => self.put(part).await.map(drop)?,
                 None => self.end(connection).await.map(drop)?,
@@ -232,8 +232,8 @@
 /// Whatever ended it, a text that did not come whole will never be.
 impl Drop for Rest {
     fn drop(&mut self) {
-        if !self.body.is_whole() {
-            self.body.break_off();
+        if !self.body.is_complete() {
+            self.body.abort();
         }
     }
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -383,14 +383,14 @@
 
     pub fn bounds(&self) -> bodies::Bounds {
         bodies::Bounds {
-            largest: self.largest.as_u64(),
-            memory_each: self.memory.each.as_u64(),
-            memory_all: self.memory.pool.as_u64(),
-            files: self.files.as_ref().map(|files| bodies::Files {
-                each: files.each.as_u64(),
-                all: files.pool.as_u64(),
-                count: files.count,
-                are_memory: files.in_memory,
+            max_body: self.largest.as_u64(),
+            memory_per_body: self.memory.each.as_u64(),
+            memory_total: self.memory.pool.as_u64(),
+            files: self.files.as_ref().map(|files| bodies::FileBounds {
+                per_body: files.each.as_u64(),
+                total: files.pool.as_u64(),
+                max_files: files.count,
+                in_memory_fs: files.in_memory,
             }),
         }
     }
@@ -473,7 +473,7 @@
         "is under 1 KiB a second: a slow sender would hold its place",
     )?;
     must(memory.each <= memory.pool, "memory.each", "is more than bodies.memory.pool")?;
-    let window = bodies::ledger::WINDOW;
+    let window = bodies::accounting::PASS_THROUGH_WINDOW_BYTES;
     must(
         memory.pool.as_u64() >= window,
         "memory.pool",
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -18,9 +18,9 @@
 use actix_rt::task::JoinHandle;
 use actix_rt::time::{sleep, sleep_until, timeout as timeout_after, Instant as TimerInstant};
 use bramblewharf::interface::{Effect as Repeat, EngineState, Id, ListKind, WorkloadTerms};
-use bramblewharf_bodies::ledger::Counts as BodyCounts;
-use bramblewharf_bodies::spool::{Disk, Folder, Threads};
-use bramblewharf_bodies::Keeper;
+use bramblewharf_bodies::accounting::Counts as BodyCounts;
+use bramblewharf_bodies::spool::{Disk, IoThreads, SpoolDirectory};
+use bramblewharf_bodies::BodyStore;
 use bramblewharf_fleet::predecessor::Predecessor;
 use bramblewharf_fleet::{node, Terms, Wrong};
 use bramblewharf_site::Names;
@@ -129,7 +129,7 @@
     pub slowest: u64,
     /// How long whom we have no room for should stay away, where the settings allow that to be told.
     pub stay_away: Option<Duration>,
-    pub bodies: Rc<Keeper>,
+    pub bodies: Rc<BodyStore>,
     pub log: Logger,
     trace: Trace,
     /// When this process stood still last.
@@ -449,8 +449,8 @@
             "asked_again" => self.engines.asked_again(), "names_passed_over" => self.names_passed_over.get(),
             "list_age_ms" => self.list_heard.get().elapsed().as_millis() as u64,
             "peers_passed_over" => self.peers.as_ref().map_or(0, Peers::passed_over),
-            "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.written(),
-            "bodies_fault" => self.bodies.take_fault(),
+            "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.spooled_bytes(),
+            "bodies_fault" => self.bodies.take_last_error(),
             "connections" => self.engines.connections(), "faults" => self.faults.get(),
             "broken" => ?broken.counts().filter(|(_, n)| *n > 0).collect::<Vec<_>>());
     }
@@ -466,7 +466,7 @@
     leave_within: Duration,
     at_start: AtStart,
     bodies: Bodies,
-    folder: Option<Arc<Folder>>,
+    folder: Option<Arc<SpoolDirectory>>,
     fleet: (Option<operators::Fleet>, BTreeMap<String, operators::Budget>),
     /// The name service and other gateways, as last read.
     in_force: RefCell<(Option<SocketAddr>, Option<config::Peers>)>,
@@ -758,20 +758,20 @@
     bodies: &Bodies,
     disk: Option<Arc<dyn Disk>>,
     log: &Logger,
-) -> io::Result<(Rc<Keeper>, Option<Arc<Folder>>)> {
+) -> io::Result<(Rc<BodyStore>, Option<Arc<SpoolDirectory>>)> {
     let files = bodies.files.as_ref().filter(|_| bodies.is_on());
     let threads = files.map(|files| -> io::Result<_> {
         if let Some(disk) = disk {
-            return Ok((None, Threads::start(disk, files.threads, files.zstd)?));
+            return Ok((None, IoThreads::start(disk, files.threads, files.zstd)?));
         }
         let named = |e: io::Error| io::Error::new(e.kind(), format!("bodies.files.dir: {}: {e}", files.dir.display()));
-        let folder = Folder::open(&files.dir).map_err(named)?;
+        let folder = SpoolDirectory::open(&files.dir).map_err(named)?;
         slog::info!(log, "files for bodies"; "folder" => %folder.path().display(), "removed" => folder.removed);
         let folder = Arc::new(folder);
-        Ok((Some(folder.clone()), Threads::start(folder, files.threads, files.zstd)?))
+        Ok((Some(folder.clone()), IoThreads::start(folder, files.threads, files.zstd)?))
     });
     let (folder, threads) = threads.transpose()?.unzip();
-    Ok((Keeper::new(bodies.bounds(), threads), folder.flatten()))
+    Ok((BodyStore::new(bodies.bounds(), threads), folder.flatten()))
 }
 
 /// An address that a gateway before us had is free at once; a burst of new connections is kept waiting.
--- a/crates/gateway/src/upload.rs
+++ b/crates/gateway/src/upload.rs
@@ -5,7 +5,7 @@
 use crate::connection::Connection;
 use actix_http::body::{BodySize, MessageBody};
 use actix_rt::time::sleep;
-use bramblewharf_bodies::keeper::Pace;
+use bramblewharf_bodies::store::Progress;
 use bramblewharf_bodies::Outgoing;
 use bytes::Bytes;
 use futures_core::Stream as _;
@@ -69,14 +69,14 @@
 
 /// Who watches over it.
 pub struct Upload {
-    pace: Rc<Pace>,
+    pace: Rc<Progress>,
     connection: Rc<Connection>,
     cut: Rc<Cut>,
 }
 
 impl Upload {
     pub fn new(outgoing: &Outgoing, connection: Rc<Connection>) -> Upload {
-        Upload { pace: outgoing.pace.clone(), connection, cut: Rc::default() }
+        Upload { pace: outgoing.progress.clone(), connection, cut: Rc::default() }
     }
 
     pub fn cut(&self) -> Rc<Cut> {
@@ -101,15 +101,16 @@
             if !may_arrive() {
                 return None;
             }
-            if !self.cut.cut.get() && !self.pace.ended.get() && self.connection.answers_early() {
+            if !self.cut.cut.get() && !self.pace.finished.get() && self.connection.answers_early() {
                 self.cut.cut.set(true);
-                self.pace.moved.set(std::time::Instant::now());
+                self.pace.last_activity.set(std::time::Instant::now());
                 self.cut.waker.take().into_iter().for_each(Waker::wake);
             }
-            let over = self.pace.ended.get() || self.cut.cut.get();
+            let over = self.pace.finished.get() || self.cut.cut.get();
             // Behind the last piece megabytes may still be in the system's buffers.
             let patience = if self.cut.cut.get() { within } else { TAKES_NOTHING };
-            if (over || !self.pace.waits.get()) && self.pace.moved.get().elapsed() > patience {
+            if (over || !self.pace.waits_for_data.get()) && self.pace.last_activity.get().elapsed() > patience
+            {
                 return None;
             }
         }
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -646,7 +646,7 @@
                 workload \"load\" {\n    not_kept = \"reject\"\n  }\n}\n";
     let bodies = read(file).unwrap().bodies;
     assert!(bodies.is_on() && bodies.is_strict("load") && !bodies.is_strict("read"));
-    assert_eq!((bodies.bounds().largest, bodies.files.as_ref().unwrap().count), (16 << 20, 64));
+    assert_eq!((bodies.bounds().max_body, bodies.files.as_ref().unwrap().count), (16 << 20, 64));
     for (from, to, said) in [
         ("16 MiB\"\n  files", "10 KiB\"\n  files", "2: bodies.largest: is under the 64 KiB"),
         ("16 MiB\"\n  files", "5 GiB\"\n  files", "2: bodies.largest: is over 4 GiB"),
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod names;
 pub mod program;
 
-use bramblewharf_bodies::ledger::Counts;
+use bramblewharf_bodies::accounting::Counts;
 use bramblewharf_bodies::spool::Disk;
 use bramblewharf_gateway::operators::Operators;
 use bramblewharf_gateway::{config, Gateway};
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -952,7 +952,7 @@
         dir.display()
     );
     std::fs::write(&settings, &hcl).unwrap();
-    let neighbour = bramblewharf_bodies::spool::Folder::open(&dir).unwrap();
+    let neighbour = bramblewharf_bodies::spool::SpoolDirectory::open(&dir).unwrap();
     let start = || {
         let program = Program::with(&file, &["--settings", settings.to_str().unwrap()]);
         let line = program.wait("files for bodies");
--- a/crates/standins/src/disk.rs
+++ b/crates/standins/src/disk.rs
@@ -1,6 +1,6 @@
 //! A disk that fails on purpose, at a byte that the test names, in memory or below a real folder.
 
-use bramblewharf_bodies::spool::{Disk, Store};
+use bramblewharf_bodies::spool::{Disk, SpoolFile};
 use std::io;
 use std::sync::atomic::{AtomicI64, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -44,7 +44,7 @@
 }
 
 impl Disk for FaultyDisk {
-    fn create(&self) -> io::Result<Box<dyn Store>> {
+    fn create(&self) -> io::Result<Box<dyn SpoolFile>> {
         let files = self.0.files.load(Ordering::SeqCst);
         if files == 0 {
             return Err(io::ErrorKind::StorageFull.into());
@@ -71,7 +71,7 @@
     }
 }
 
-impl Store for FaultyFile {
+impl SpoolFile for FaultyFile {
     fn write_all_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
         let held = self.faults.held.0.lock().unwrap();
         drop(self.faults.held.1.wait_while(held, |held| *held).unwrap());
