--- a/crates/record/src/breaker.rs
+++ b/crates/record/src/breaker.rs
@@ -1,11 +1,12 @@
-//! Whether record-bound statements are taken at all: a store that is slow, full or gone rejects them before an execution is
-//! sent. Without I/O; times are those it is given.
+//! Circuit breaker in front of the store: while the store is slow, full or unreachable, statements that need
+//! a record are rejected before an execution is sent. Without I/O; the caller passes the time.
 
 use std::time::Duration;
 
-/// Failures in a row that open it, and the first and longest pause before one trial.
-const FAILURES: u32 = 3;
-const PAUSE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(8));
+/// Consecutive failures that open the breaker.
+const FAILURE_THRESHOLD: u32 = 3;
+/// The first and the longest pause before a probe.
+const PAUSE_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(8));
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum State {
@@ -16,29 +17,31 @@
         until: Duration,
         pause: Duration,
     },
-    /// One is on trial, by its number.
+    /// The request with this id is sent as a probe.
     HalfOpen {
-        trial: u64,
+        probe: u64,
         pause: Duration,
     },
 }
 
+/// Opens after consecutive failures, then sends a single probe after a pause that doubles each time a probe
+/// fails.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Breaker(State);
+pub struct CircuitBreaker(State);
 
-impl Default for Breaker {
-    fn default() -> Breaker {
-        Breaker(State::Closed { failures: 0 })
+impl Default for CircuitBreaker {
+    fn default() -> CircuitBreaker {
+        CircuitBreaker(State::Closed { failures: 0 })
     }
 }
 
-impl Breaker {
-    /// Whether this one may go to the store; else how long until the next may.
-    pub fn take(&mut self, now: Duration, id: u64) -> Result<(), Duration> {
+impl CircuitBreaker {
+    /// Whether this request may go to the store; otherwise how long to wait before the next one.
+    pub fn try_acquire(&mut self, now: Duration, id: u64) -> Result<(), Duration> {
         match self.0 {
             State::Closed { .. } => Ok(()),
             State::Open { until, pause } if now >= until => {
-                self.0 = State::HalfOpen { trial: id, pause };
+                self.0 = State::HalfOpen { probe: id, pause };
                 Ok(())
             }
             State::Open { until, .. } => Err(until - now),
@@ -46,24 +49,25 @@
         }
     }
 
-    /// What became of one that went: whether the store answered.
-    pub fn hear(&mut self, now: Duration, id: u64, answered: bool) {
+    /// Records whether the store answered this request.
+    pub fn record_result(&mut self, now: Duration, id: u64, answered: bool) {
         self.0 = match (self.0, answered) {
             (State::Closed { .. }, true) => State::Closed { failures: 0 },
-            (State::Closed { failures }, false) if failures + 1 < FAILURES => {
+            (State::Closed { failures }, false) if failures + 1 < FAILURE_THRESHOLD => {
                 State::Closed { failures: failures + 1 }
             }
-            (State::Closed { .. }, false) => State::Open { until: now + PAUSE.0, pause: PAUSE.0 },
-            (State::HalfOpen { trial, .. }, true) if trial == id => State::Closed { failures: 0 },
-            (State::HalfOpen { trial, pause }, false) if trial == id => {
-                let pause = (pause * 2).min(PAUSE.1);
+            (State::Closed { .. }, false) => State::Open { until: now + PAUSE_RANGE.0, pause: PAUSE_RANGE.0 },
+            (State::HalfOpen { probe, .. }, true) if probe == id => State::Closed { failures: 0 },
+            (State::HalfOpen { probe, pause }, false) if probe == id => {
+                let pause = (pause * 2).min(PAUSE_RANGE.1);
                 State::Open { until: now + pause, pause }
             }
-            // Of one that went before it opened.
+            // The request was sent before the breaker opened.
             (state, _) => state,
         };
     }
 
+    /// Whether it holds back requests, but for a probe.
     pub fn is_open(&self) -> bool {
         !matches!(self.0, State::Closed { .. })
     }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,10 +1,12 @@
-//! The store of record: a load that was answered as completed is found there afterwards, once, whatever failed on the way.
-//! `ledger` decides, without I/O; `store` says what a store must do in one transaction each, and `sqlite` does it.
+//! Store of record: a load that was answered as completed has exactly one revision in the store, whatever
+//! failed on the way. `operations` decides what to write and answer, without I/O; `store` defines the
+//! transactions of a store, and `sqlite` implements them. `breaker` rejects statements while the store is not
+//! available.
 
 pub mod breaker;
-pub mod ledger;
+pub mod operations;
 pub mod sqlite;
 pub mod store;
 
-pub use ledger::{Answer, Class, Effect, Input, Ledger, Ran, Reply};
+pub use operations::{Answer, Effect, ExecutionOutcome, Input, Operations, RepeatClass, Reply};
 pub use store::{Digest, Revision, Store};
--- a/crates/record/src/operations.rs
+++ b/crates/record/src/operations.rs
@@ -1,332 +1,334 @@
-//! What is owed to the store for each operation, and what its client may be told: `(state, input) -> effects`, without I/O or
-//! clock. The intent is written before the execution, the revision after it, and completed goes out only behind that.
+//! State machine of each recorded operation: what must be written to the store, and what the client may be
+//! answered. `(state, input) -> effects`, without I/O or clock. The intent is written before the execution
+//! and the revision after it; the client is answered with `Completed` only once the revision is durable.
 
 use crate::store::Digest;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An operation's number, this process's own; its key is the client's.
-pub type Id = u64;
+/// Identifies an operation within this process.
+pub type OperationId = u64;
+/// Identifies an operation for its client, over all gateways.
 pub type Key = Arc<str>;
 
-/// How often a record is tried again that is known not to have been written, and a look that told nothing.
-const TRIES: u8 = 3;
+/// How often a failed write, or a check without a result, is retried.
+const MAX_RETRIES: u8 = 3;
 
+/// Whether an operation may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Class {
-    /// Its engines drop a repeat, or a repeat does no harm.
-    MayRepeat,
+pub enum RepeatClass {
+    /// Engines discard a repeated execution, or it does no harm.
+    Repeatable,
+    /// A repeated execution may take effect twice.
     NonIdempotent,
 }
 
+/// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ran {
+pub enum ExecutionOutcome {
+    /// It ran and completed.
     Completed,
-    /// Proved by whoever sent it.
-    Never,
-    Maybe,
+    /// It certainly did not run, as the sender has proved.
+    NotRun,
+    /// It may have run.
+    MaybeRan,
 }
 
-/// What a store's transaction came to.
+/// Outcome of a transaction of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reply {
-    /// The key is this gateway's now; whatever is written for it must show this fence.
-    Intended {
-        fence: u64,
-    },
-    /// There is a revision of this key and digest.
+    /// The key belongs to this gateway now; writes for it must carry this fencing token.
+    Intended { fence: u64 },
+    /// A revision with this key and digest exists.
     Recorded,
-    /// There is one of this key and another digest.
+    /// A revision or an intent with this key and another digest exists.
     Conflict,
-    /// Another gateway has the key, and its lease is not over.
-    Held,
-    /// Whether it ran was never settled.
-    IsUnclear,
-    /// There is none, and no earlier writer of ours can write it any more.
-    Absent {
-        fence: u64,
-    },
-    /// The key is no longer this gateway's.
+    /// Another owner holds the key under a valid lease.
+    HeldByOther,
+    /// An earlier execution under this key may have run; that was never resolved.
+    InDoubt,
+    /// No revision exists, and earlier writes of this operation are fenced off.
+    NotRecorded { fence: u64 },
+    /// The key no longer belongs to this owner and fencing token.
     Fenced,
+    /// The transaction is committed.
     Done,
     /// Nothing was written, for certain.
     Failed,
-    /// Nothing is known: it may have been written.
-    Lost,
+    /// It may or may not have been written.
+    Unknown,
 }
 
+/// What happened to an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    Ask {
-        key: Key,
-        digest: Digest,
-        class: Class,
-    },
-    Store(Reply),
-    Ran(Ran),
-    /// The statement's time is over.
-    TimeUp,
+    /// A client asks for it.
+    Begin { key: Key, digest: Digest, class: RepeatClass },
+    /// The store has replied to the latest effect.
+    StoreReplied(Reply),
+    /// The execution has ended.
+    ExecutionEnded(ExecutionOutcome),
+    /// The deadline of the statement has passed.
+    DeadlinePassed,
 }
 
+/// What the client is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
+    /// It ran, and its revision is durable.
     Completed,
-    /// Harmless to repeat: nothing ran.
+    /// Nothing ran: the client may repeat it.
     Rejected,
+    /// It may have run.
     Aborted,
-    /// The key stands for another content.
+    /// The key is in use for other content.
     Conflict,
 }
 
+/// What the caller must do for an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// `again`: also where an earlier one is unclear.
-    Intend {
-        id: Id,
-        key: Key,
-        digest: Digest,
-        again: bool,
-    },
-    Execute {
-        id: Id,
-    },
-    Record {
-        id: Id,
-        key: Key,
-        digest: Digest,
-        fence: u64,
-    },
-    /// On another connection, and such that what was sent before can't be written afterwards.
-    Look {
-        id: Id,
-        key: Key,
-        digest: Digest,
-        fence: u64,
-    },
-    /// The intent of this operation goes, if it is there: nothing ran.
-    Withdraw {
-        id: Id,
-        key: Key,
-    },
-    MarkUnclear {
-        id: Id,
-        key: Key,
-        fence: u64,
-    },
-    Answer {
-        id: Id,
-        answer: Answer,
-    },
+    /// Write the intent. `replace_in_doubt`: replace an earlier one that is in doubt.
+    Intend { id: OperationId, key: Key, digest: Digest, replace_in_doubt: bool },
+    /// Send the execution.
+    Execute { id: OperationId },
+    /// Write the revision.
+    Record { id: OperationId, key: Key, digest: Digest, fence: u64 },
+    /// Check for the revision on another connection, and fence off earlier writes of this operation.
+    CheckRecorded { id: OperationId, key: Key, digest: Digest, fence: u64 },
+    /// Delete the intent of this operation, if there is one: nothing ran.
+    Withdraw { id: OperationId, key: Key },
+    /// Mark the intent as in doubt: it may have run.
+    MarkInDoubt { id: OperationId, key: Key, fence: u64 },
+    /// Answer the client.
+    Answer { id: OperationId, answer: Answer },
 }
 
+/// Progress of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum At {
+pub enum State {
+    /// Its intent is being written.
     Intending,
+    /// Its execution is in flight.
     Running,
+    /// Its revision is being written.
     Recording,
-    Looking,
-    /// What is left of it is said to the store; nothing depends on the reply.
-    Leaving,
+    /// The store is checked for its revision.
+    Checking,
+    /// Its intent is being deleted or marked; nothing depends on the reply.
+    Cleanup,
 }
 
-/// An input as it stands with the class, and with whether the client has its answer.
+/// An input combined with the class, the retries so far, and whether the client has its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     Intended,
     IntendedTooLate,
     Recorded,
     Conflict,
-    Held,
-    UnclearMayRepeat,
-    Unclear,
-    Absent,
+    HeldByOther,
+    InDoubtRepeatable,
+    InDoubt,
+    NotRecorded,
     Fenced,
     Done,
     Failed,
-    FailedForGood,
-    Lost,
-    LostForGood,
+    FailedTooOften,
+    Unknown,
+    UnknownTooOften,
     Completed,
-    Never,
-    Maybe,
-    TimeUp,
+    NotRun,
+    MaybeRan,
+    DeadlinePassed,
 }
 
+/// What a transition asks of the store or the engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
-    Rest,
-    IntendAgain,
+pub enum Action {
+    Nothing,
+    ReplaceIntent,
     Execute,
     Record,
-    Look,
+    CheckRecorded,
     Withdraw,
-    MarkUnclear,
+    MarkInDoubt,
 }
 
-/// State, event, next state (none: over), what the store or the engines are asked, what the client is told unless it has
-/// been told.
-pub type Row = (At, Event, Option<At>, Step, Option<Answer>);
+/// State, event, next state (none: finished), action, and the answer to the client unless it has one already.
+pub type Transition = (State, Event, Option<State>, Action, Option<Answer>);
 
 use Answer::*;
-/// A pair that is not listed changes nothing.
+/// The transitions. A pair of state and event that is not listed changes nothing.
 #[rustfmt::skip]
-pub const TABLE: &[Row] = &[
-    (At::Intending, Event::Intended,         Some(At::Running),   Step::Execute,     None),
-    (At::Intending, Event::IntendedTooLate,  Some(At::Leaving),   Step::Withdraw,    Some(Rejected)),
-    (At::Intending, Event::Recorded,         None,                Step::Rest,        Some(Completed)),
-    (At::Intending, Event::Conflict,         None,                Step::Rest,        Some(Conflict)),
-    (At::Intending, Event::Held,             None,                Step::Rest,        Some(Rejected)),
-    (At::Intending, Event::UnclearMayRepeat, Some(At::Intending), Step::IntendAgain, None),
-    (At::Intending, Event::Unclear,          None,                Step::Rest,        Some(Aborted)),
-    (At::Intending, Event::Failed,           None,                Step::Rest,        Some(Rejected)),
-    (At::Intending, Event::FailedForGood,    None,                Step::Rest,        Some(Rejected)),
-    (At::Intending, Event::Lost,             Some(At::Leaving),   Step::Withdraw,    Some(Rejected)),
-    (At::Intending, Event::LostForGood,      Some(At::Leaving),   Step::Withdraw,    Some(Rejected)),
-    (At::Intending, Event::TimeUp,           Some(At::Intending), Step::Rest,        Some(Rejected)),
-    (At::Running,   Event::Completed,        Some(At::Recording), Step::Record,      None),
-    (At::Running,   Event::Never,            Some(At::Leaving),   Step::Withdraw,    Some(Rejected)),
-    (At::Running,   Event::Maybe,            Some(At::Leaving),   Step::MarkUnclear, Some(Aborted)),
-    (At::Running,   Event::TimeUp,           Some(At::Running),   Step::Rest,        Some(Aborted)),
-    (At::Recording, Event::Done,             None,                Step::Rest,        Some(Completed)),
-    (At::Recording, Event::Recorded,         None,                Step::Rest,        Some(Completed)),
-    (At::Recording, Event::Failed,           Some(At::Recording), Step::Record,      None),
-    (At::Recording, Event::FailedForGood,    Some(At::Leaving),   Step::MarkUnclear, Some(Aborted)),
-    (At::Recording, Event::Lost,             Some(At::Looking),   Step::Look,        None),
-    (At::Recording, Event::LostForGood,      Some(At::Leaving),   Step::MarkUnclear, Some(Aborted)),
-    (At::Recording, Event::Fenced,           None,                Step::Rest,        Some(Aborted)),
-    (At::Recording, Event::Conflict,         None,                Step::Rest,        Some(Aborted)),
-    (At::Recording, Event::TimeUp,           Some(At::Recording), Step::Rest,        Some(Aborted)),
-    (At::Looking,   Event::Recorded,         None,                Step::Rest,        Some(Completed)),
-    (At::Looking,   Event::Absent,           Some(At::Recording), Step::Record,      None),
-    (At::Looking,   Event::Failed,           Some(At::Looking),   Step::Look,        None),
-    (At::Looking,   Event::FailedForGood,    Some(At::Leaving),   Step::MarkUnclear, Some(Aborted)),
-    (At::Looking,   Event::Lost,             Some(At::Looking),   Step::Look,        None),
-    (At::Looking,   Event::LostForGood,      Some(At::Leaving),   Step::MarkUnclear, Some(Aborted)),
-    (At::Looking,   Event::Fenced,           None,                Step::Rest,        Some(Aborted)),
-    (At::Looking,   Event::Conflict,         None,                Step::Rest,        Some(Aborted)),
-    (At::Looking,   Event::TimeUp,           Some(At::Looking),   Step::Rest,        Some(Aborted)),
-    (At::Leaving,   Event::Done,             None,                Step::Rest,        None),
-    (At::Leaving,   Event::Recorded,         None,                Step::Rest,        None),
-    (At::Leaving,   Event::Fenced,           None,                Step::Rest,        None),
-    (At::Leaving,   Event::Failed,           None,                Step::Rest,        None),
-    (At::Leaving,   Event::FailedForGood,    None,                Step::Rest,        None),
-    (At::Leaving,   Event::Lost,             None,                Step::Rest,        None),
-    (At::Leaving,   Event::LostForGood,      None,                Step::Rest,        None),
+pub const TRANSITIONS: &[Transition] = &[
+    (State::Intending, Event::Intended,          Some(State::Running),   Action::Execute,       None),
+    (State::Intending, Event::IntendedTooLate,   Some(State::Cleanup),   Action::Withdraw,      Some(Rejected)),
+    (State::Intending, Event::Recorded,          None,                   Action::Nothing,       Some(Completed)),
+    (State::Intending, Event::Conflict,          None,                   Action::Nothing,       Some(Conflict)),
+    (State::Intending, Event::HeldByOther,       None,                   Action::Nothing,       Some(Rejected)),
+    (State::Intending, Event::InDoubtRepeatable, Some(State::Intending), Action::ReplaceIntent, None),
+    (State::Intending, Event::InDoubt,           None,                   Action::Nothing,       Some(Aborted)),
+    (State::Intending, Event::Failed,            None,                   Action::Nothing,       Some(Rejected)),
+    (State::Intending, Event::FailedTooOften,    None,                   Action::Nothing,       Some(Rejected)),
+    (State::Intending, Event::Unknown,           Some(State::Cleanup),   Action::Withdraw,      Some(Rejected)),
+    (State::Intending, Event::UnknownTooOften,   Some(State::Cleanup),   Action::Withdraw,      Some(Rejected)),
+    (State::Intending, Event::DeadlinePassed,    Some(State::Intending), Action::Nothing,       Some(Rejected)),
+    (State::Running,   Event::Completed,         Some(State::Recording), Action::Record,        None),
+    (State::Running,   Event::NotRun,            Some(State::Cleanup),   Action::Withdraw,      Some(Rejected)),
+    (State::Running,   Event::MaybeRan,          Some(State::Cleanup),   Action::MarkInDoubt,   Some(Aborted)),
+    (State::Running,   Event::DeadlinePassed,    Some(State::Running),   Action::Nothing,       Some(Aborted)),
+    (State::Recording, Event::Done,              None,                   Action::Nothing,       Some(Completed)),
+    (State::Recording, Event::Recorded,          None,                   Action::Nothing,       Some(Completed)),
+    (State::Recording, Event::Failed,            Some(State::Recording), Action::Record,        None),
+    (State::Recording, Event::FailedTooOften,    Some(State::Cleanup),   Action::MarkInDoubt,   Some(Aborted)),
+    (State::Recording, Event::Unknown,           Some(State::Checking),  Action::CheckRecorded, None),
+    (State::Recording, Event::UnknownTooOften,   Some(State::Cleanup),   Action::MarkInDoubt,   Some(Aborted)),
+    (State::Recording, Event::Fenced,            None,                   Action::Nothing,       Some(Aborted)),
+    (State::Recording, Event::Conflict,          None,                   Action::Nothing,       Some(Aborted)),
+    (State::Recording, Event::DeadlinePassed,    Some(State::Recording), Action::Nothing,       Some(Aborted)),
+    (State::Checking,  Event::Recorded,          None,                   Action::Nothing,       Some(Completed)),
+    (State::Checking,  Event::NotRecorded,       Some(State::Recording), Action::Record,        None),
+    (State::Checking,  Event::Failed,            Some(State::Checking),  Action::CheckRecorded, None),
+    (State::Checking,  Event::FailedTooOften,    Some(State::Cleanup),   Action::MarkInDoubt,   Some(Aborted)),
+    (State::Checking,  Event::Unknown,           Some(State::Checking),  Action::CheckRecorded, None),
+    (State::Checking,  Event::UnknownTooOften,   Some(State::Cleanup),   Action::MarkInDoubt,   Some(Aborted)),
+    (State::Checking,  Event::Fenced,            None,                   Action::Nothing,       Some(Aborted)),
+    (State::Checking,  Event::Conflict,          None,                   Action::Nothing,       Some(Aborted)),
+    (State::Checking,  Event::DeadlinePassed,    Some(State::Checking),  Action::Nothing,       Some(Aborted)),
+    (State::Cleanup,   Event::Done,              None,                   Action::Nothing,       None),
+    (State::Cleanup,   Event::Recorded,          None,                   Action::Nothing,       None),
+    (State::Cleanup,   Event::Fenced,            None,                   Action::Nothing,       None),
+    (State::Cleanup,   Event::Failed,            None,                   Action::Nothing,       None),
+    (State::Cleanup,   Event::FailedTooOften,    None,                   Action::Nothing,       None),
+    (State::Cleanup,   Event::Unknown,           None,                   Action::Nothing,       None),
+    (State::Cleanup,   Event::UnknownTooOften,   None,                   Action::Nothing,       None),
 ];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Op {
+struct Operation {
     key: Key,
     digest: Digest,
-    class: Class,
-    at: At,
+    class: RepeatClass,
+    state: State,
     fence: Option<u64>,
     answered: bool,
-    tries: u8,
+    failures: u8,
 }
 
-/// Emptied of an operation once nothing more is asked of the store for it.
+/// All operations for which the store or the client still waits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ledger {
-    ops: BTreeMap<Id, Op>,
-    table: &'static [Row],
+pub struct Operations {
+    operations: BTreeMap<OperationId, Operation>,
+    transitions: &'static [Transition],
 }
 
-impl Default for Ledger {
-    fn default() -> Ledger {
-        Ledger::by(TABLE)
+impl Default for Operations {
+    fn default() -> Operations {
+        Operations::with_table(TRANSITIONS)
     }
 }
 
-impl Ledger {
-    /// By another table: for showing that a wrong one is noticed.
-    pub fn by(table: &'static [Row]) -> Ledger {
-        Ledger { ops: BTreeMap::new(), table }
+impl Operations {
+    /// With another transition table, for tests that must detect a wrong one.
+    pub fn with_table(transitions: &'static [Transition]) -> Operations {
+        Operations { operations: BTreeMap::new(), transitions }
     }
 
-    pub fn open(&self) -> usize {
-        self.ops.len()
+    /// How many operations are unfinished.
+    pub fn unfinished(&self) -> usize {
+        self.operations.len()
     }
 
-    /// Whether a client still waits for its answer.
-    pub fn owes(&self, id: Id) -> bool {
-        self.ops.get(&id).is_some_and(|op| !op.answered)
+    /// Whether the client of this operation still waits for its answer.
+    pub fn awaits_answer(&self, id: OperationId) -> bool {
+        self.operations.get(&id).is_some_and(|operation| !operation.answered)
     }
 
-    pub fn step(&mut self, id: Id, input: Input) -> Vec<Effect> {
-        if let Input::Ask { key, digest, class } = input {
-            let op = Op {
+    /// Applies an input to an operation and returns what the caller must do.
+    pub fn step(&mut self, id: OperationId, input: Input) -> Vec<Effect> {
+        if let Input::Begin { key, digest, class } = input {
+            let operation = Operation {
                 key: key.clone(),
                 digest,
                 class,
-                at: At::Intending,
+                state: State::Intending,
                 fence: None,
                 answered: false,
-                tries: 0,
+                failures: 0,
             };
-            self.ops.insert(id, op);
-            return vec![Effect::Intend { id, key, digest, again: false }];
+            self.operations.insert(id, operation);
+            return vec![Effect::Intend { id, key, digest, replace_in_doubt: false }];
         }
-        let Some(op) = self.ops.get_mut(&id) else { return Vec::new() };
-        let event = op.hear(&input);
-        let Some(row) = self.table.iter().find(|row| row.0 == op.at && row.1 == event) else {
+        let Some(operation) = self.operations.get_mut(&id) else { return Vec::new() };
+        let event = operation.classify(&input);
+        let Some(transition) = self
+            .transitions
+            .iter()
+            .find(|transition| transition.0 == operation.state && transition.1 == event)
+        else {
             return Vec::new();
         };
-        let (key, digest, fence) = (op.key.clone(), op.digest, op.fence);
+        let (key, digest, fence) = (operation.key.clone(), operation.digest, operation.fence);
         let mut effects = Vec::new();
-        if let Some(answer) = row.4.filter(|_| !op.answered) {
-            op.answered = true;
+        if let Some(answer) = transition.4.filter(|_| !operation.answered) {
+            operation.answered = true;
             effects.push(Effect::Answer { id, answer });
         }
-        match (row.3, fence) {
-            (Step::Rest, _) => {}
-            (Step::IntendAgain, _) => effects.push(Effect::Intend { id, key, digest, again: true }),
-            (Step::Execute, _) => effects.push(Effect::Execute { id }),
-            (Step::Record, Some(fence)) => effects.push(Effect::Record { id, key, digest, fence }),
-            (Step::Look, Some(fence)) => effects.push(Effect::Look { id, key, digest, fence }),
-            (Step::MarkUnclear, Some(fence)) => effects.push(Effect::MarkUnclear { id, key, fence }),
-            (Step::Withdraw, _) => effects.push(Effect::Withdraw { id, key }),
-            // Nothing is recorded of what was never intended: no row leads here.
-            (Step::Record | Step::Look | Step::MarkUnclear, None) => {}
+        match (transition.3, fence) {
+            (Action::Nothing, _) => {}
+            (Action::ReplaceIntent, _) => {
+                effects.push(Effect::Intend { id, key, digest, replace_in_doubt: true })
+            }
+            (Action::Execute, _) => effects.push(Effect::Execute { id }),
+            (Action::Record, Some(fence)) => effects.push(Effect::Record { id, key, digest, fence }),
+            (Action::CheckRecorded, Some(fence)) => {
+                effects.push(Effect::CheckRecorded { id, key, digest, fence })
+            }
+            (Action::MarkInDoubt, Some(fence)) => effects.push(Effect::MarkInDoubt { id, key, fence }),
+            (Action::Withdraw, _) => effects.push(Effect::Withdraw { id, key }),
+            // Unreachable: no transition leads here without an intent.
+            (Action::Record | Action::CheckRecorded | Action::MarkInDoubt, None) => {}
         }
-        match row.2 {
-            Some(at) => op.at = at,
-            None => drop(self.ops.remove(&id)),
+        match transition.2 {
+            Some(state) => operation.state = state,
+            None => drop(self.operations.remove(&id)),
         }
         effects
     }
 }
 
-impl Op {
-    fn hear(&mut self, input: &Input) -> Event {
-        if let Input::Store(Reply::Intended { fence } | Reply::Absent { fence }) = input {
+impl Operation {
+    fn classify(&mut self, input: &Input) -> Event {
+        if let Input::StoreReplied(Reply::Intended { fence } | Reply::NotRecorded { fence }) = input {
             self.fence = Some(*fence);
         }
-        if let Input::Store(Reply::Failed | Reply::Lost) = input {
-            self.tries = self.tries.saturating_add(1);
+        if let Input::StoreReplied(Reply::Failed | Reply::Unknown) = input {
+            self.failures = self.failures.saturating_add(1);
         }
-        let for_good = self.tries > TRIES;
+        let retries_exhausted = self.failures > MAX_RETRIES;
         match input {
-            Input::Store(Reply::Intended { .. }) if self.answered => Event::IntendedTooLate,
-            Input::Store(Reply::Intended { .. }) => Event::Intended,
-            Input::Store(Reply::Recorded) => Event::Recorded,
-            Input::Store(Reply::Conflict) => Event::Conflict,
-            Input::Store(Reply::Held) => Event::Held,
-            Input::Store(Reply::IsUnclear) if self.class == Class::MayRepeat && !self.answered => {
-                Event::UnclearMayRepeat
+            Input::StoreReplied(Reply::Intended { .. }) if self.answered => Event::IntendedTooLate,
+            Input::StoreReplied(Reply::Intended { .. }) => Event::Intended,
+            Input::StoreReplied(Reply::Recorded) => Event::Recorded,
+            Input::StoreReplied(Reply::Conflict) => Event::Conflict,
+            Input::StoreReplied(Reply::HeldByOther) => Event::HeldByOther,
+            Input::StoreReplied(Reply::InDoubt)
+                if self.class == RepeatClass::Repeatable && !self.answered =>
+            {
+                Event::InDoubtRepeatable
             }
-            Input::Store(Reply::IsUnclear) => Event::Unclear,
-            Input::Store(Reply::Absent { .. }) => Event::Absent,
-            Input::Store(Reply::Fenced) => Event::Fenced,
-            Input::Store(Reply::Done) => Event::Done,
-            Input::Store(Reply::Failed) if for_good => Event::FailedForGood,
-            Input::Store(Reply::Failed) => Event::Failed,
-            Input::Store(Reply::Lost) if for_good => Event::LostForGood,
-            Input::Store(Reply::Lost) => Event::Lost,
-            Input::Ran(Ran::Completed) => Event::Completed,
-            Input::Ran(Ran::Never) => Event::Never,
-            Input::Ran(Ran::Maybe) => Event::Maybe,
-            Input::TimeUp | Input::Ask { .. } => Event::TimeUp,
+            Input::StoreReplied(Reply::InDoubt) => Event::InDoubt,
+            Input::StoreReplied(Reply::NotRecorded { .. }) => Event::NotRecorded,
+            Input::StoreReplied(Reply::Fenced) => Event::Fenced,
+            Input::StoreReplied(Reply::Done) => Event::Done,
+            Input::StoreReplied(Reply::Failed) if retries_exhausted => Event::FailedTooOften,
+            Input::StoreReplied(Reply::Failed) => Event::Failed,
+            Input::StoreReplied(Reply::Unknown) if retries_exhausted => Event::UnknownTooOften,
+            Input::StoreReplied(Reply::Unknown) => Event::Unknown,
+            Input::ExecutionEnded(ExecutionOutcome::Completed) => Event::Completed,
+            Input::ExecutionEnded(ExecutionOutcome::NotRun) => Event::NotRun,
+            Input::ExecutionEnded(ExecutionOutcome::MaybeRan) => Event::MaybeRan,
+            Input::DeadlinePassed | Input::Begin { .. } => Event::DeadlinePassed,
         }
     }
 }
--- a/crates/record/tests/model.rs
+++ b/crates/record/tests/model.rs
@@ -1,8 +1,10 @@
-//! The ledger as a model: two gateways, a store that loses replies and does things late, engines that may have run, gateways that
-//! crash, a client that repeats. All interleavings within the bounds are walked.
+//! Model check of `Operations` with two gateways, a store that loses replies or works late, executions that
+//! end in doubt, gateway crashes, and a client that repeats its request. All interleavings within the bounds
+//! are explored.
 
-use bramblewharf_record::ledger::{
-    Answer, At, Class, Effect, Event, Input, Ledger, Ran, Reply, Row, Step, TABLE,
+use bramblewharf_record::operations::{
+    Action, Answer, Effect, Event, ExecutionOutcome, Input, Operations, RepeatClass, Reply, State,
+    Transition, TRANSITIONS,
 };
 use bramblewharf_record::Digest;
 use stateright::{Checker as _, Model, Property};
@@ -10,55 +12,57 @@
 
 const DIGEST: Digest = Digest([7; 32]);
 
-/// A transaction on its way to the store, from this incarnation of this gateway.
+/// A transaction sent to the store by one incarnation of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Sent {
     gateway: usize,
     incarnation: u64,
     effect: Effect,
-    /// Its reply is told lost already; it may be done late, or never.
-    late: bool,
+    /// The gateway was told that its outcome is unknown. It may be executed later, or never.
+    is_late: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Store {
-    /// Gateway, incarnation, operation, fence, unclear.
+    /// Gateway, incarnation, operation, fencing token, in doubt.
     intent: Option<(usize, u64, u64, u64, bool)>,
     revisions: u8,
     fence: u64,
 }
 
 impl Store {
-    fn work(&mut self, sent: &Sent, lives: impl Fn(usize, u64) -> bool) -> Reply {
+    fn execute(&mut self, sent: &Sent, has_valid_lease: impl Fn(usize, u64) -> bool) -> Reply {
         let owner = (sent.gateway, sent.incarnation);
-        let ours = |fence| matches!(self.intent, Some((g, i, _, f, false)) if (g, i, f) == (owner.0, owner.1, fence));
+        let is_owned = |fence| matches!(self.intent, Some((g, i, _, f, false)) if (g, i, f) == (owner.0, owner.1, fence));
         match &sent.effect {
-            Effect::Intend { .. } | Effect::Record { .. } | Effect::Look { .. } if self.revisions > 0 => {
+            Effect::Intend { .. } | Effect::Record { .. } | Effect::CheckRecorded { .. }
+                if self.revisions > 0 =>
+            {
                 Reply::Recorded
             }
-            Effect::Intend { id, again, .. } => {
-                if let Some((gateway, incarnation, _, _, unclear)) = &mut self.intent {
-                    if !*unclear && lives(*gateway, *incarnation) {
-                        return Reply::Held;
+            Effect::Intend { id, replace_in_doubt, .. } => {
+                if let Some((gateway, incarnation, _, _, in_doubt)) = &mut self.intent {
+                    if !*in_doubt && has_valid_lease(*gateway, *incarnation) {
+                        return Reply::HeldByOther;
                     }
-                    if !again {
-                        *unclear = true;
-                        return Reply::IsUnclear;
+                    if !replace_in_doubt {
+                        *in_doubt = true;
+                        return Reply::InDoubt;
                     }
                 }
                 self.fence += 1;
                 self.intent = Some((owner.0, owner.1, *id, self.fence, false));
                 Reply::Intended { fence: self.fence }
             }
-            Effect::Record { fence, .. } if ours(*fence) => {
+            Effect::Record { fence, .. } if is_owned(*fence) => {
                 (self.revisions, self.intent) = (self.revisions + 1, None);
                 Reply::Done
             }
-            Effect::Look { fence, .. } if ours(*fence) => {
+            Effect::CheckRecorded { fence, .. } if is_owned(*fence) => {
                 self.fence += 1;
                 let fence = self.fence;
                 self.intent.iter_mut().for_each(|intent| intent.3 = fence);
-                Reply::Absent { fence }
+                Reply::NotRecorded { fence }
             }
             Effect::Withdraw { id, .. } => match self.intent {
                 Some((g, i, o, _, false)) if (g, i, o) == (owner.0, owner.1, *id) => {
@@ -67,7 +71,7 @@
                 }
                 _ => Reply::Fenced,
             },
-            Effect::MarkUnclear { fence, .. } if ours(*fence) => {
+            Effect::MarkInDoubt { fence, .. } if is_owned(*fence) => {
                 self.intent.iter_mut().for_each(|intent| intent.4 = true);
                 Reply::Done
             }
@@ -78,208 +82,221 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// Each gateway's incarnation, and its ledger.
-    gateways: Vec<(u64, Ledger)>,
-    /// Incarnations whose lease is over.
-    lapsed: Vec<(usize, u64)>,
+    /// Incarnation and operations of each gateway.
+    gateways: Vec<(u64, Operations)>,
+    /// Incarnations whose lease has expired.
+    expired_leases: Vec<(usize, u64)>,
     store: Store,
     sent: Vec<Sent>,
-    /// Executions under way: gateway, incarnation, operation.
+    /// Executions in flight: gateway, incarnation, operation.
     running: Vec<(usize, u64, u64)>,
     effects: u8,
-    asked: u8,
+    requested: u8,
     answers: BTreeMap<u64, Vec<Answer>>,
-    /// Completed was said while no revision was there.
-    lied: bool,
-    /// Left of what may go wrong.
+    /// `Completed` was answered while there was no revision.
+    false_completion: bool,
+    /// Store faults and crashes that may still happen.
     losses: u8,
     crashes: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Act {
-    Ask(usize),
-    /// Done and told; done and the reply lost; not done and told so; not done (yet) and nothing told.
-    Store(usize, How),
-    Engine(usize, Ran, bool),
-    TimeUp(usize, u64),
+enum Step {
+    Request(usize),
+    /// A transaction reaches the store, with this result.
+    Store(usize, Delivery),
+    Engine(usize, ExecutionOutcome, bool),
+    DeadlinePassed(usize, u64),
     Crash(usize),
-    Lapse(usize, u64),
+    ExpireLease(usize, u64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum How {
+enum Delivery {
+    /// Executed, and the reply arrives.
     Done,
-    DoneUnheard,
+    /// Executed, and the reply is lost.
+    ReplyLost,
+    /// Not executed, and the gateway learns that.
     Failed,
+    /// Not executed yet, and the reply is lost.
     Late,
 }
 
-struct Run {
-    table: &'static [Row],
-    class: Class,
-    asks: u8,
+struct Setup {
+    table: &'static [Transition],
+    class: RepeatClass,
+    requests: u8,
     losses: u8,
     crashes: u8,
 }
 
-impl Run {
-    fn take(&self, world: &mut World, gateway: usize, effects: Vec<Effect>) {
+impl Setup {
+    fn apply_effects(&self, world: &mut World, gateway: usize, effects: Vec<Effect>) {
         let incarnation = world.gateways[gateway].0;
         for effect in effects {
             match effect {
                 Effect::Execute { id } => world.running.push((gateway, incarnation, id)),
                 Effect::Answer { id, answer } => {
-                    world.lied |= answer == Answer::Completed && world.store.revisions == 0;
+                    world.false_completion |= answer == Answer::Completed && world.store.revisions == 0;
                     world.answers.entry(id).or_default().push(answer);
                 }
-                effect => world.sent.push(Sent { gateway, incarnation, effect, late: false }),
+                effect => world.sent.push(Sent { gateway, incarnation, effect, is_late: false }),
             }
         }
     }
 
-    fn hear(&self, world: &mut World, sent: &Sent, reply: Reply) {
-        let (incarnation, ledger) = &mut world.gateways[sent.gateway];
-        if *incarnation != sent.incarnation || sent.late {
+    fn deliver_reply(&self, world: &mut World, sent: &Sent, reply: Reply) {
+        let (incarnation, operations) = &mut world.gateways[sent.gateway];
+        if *incarnation != sent.incarnation || sent.is_late {
             return;
         }
         let id = match &sent.effect {
-            Effect::Intend { id, .. } | Effect::Record { id, .. } | Effect::Look { id, .. } => *id,
-            Effect::Withdraw { id, .. } | Effect::MarkUnclear { id, .. } => *id,
+            Effect::Intend { id, .. } | Effect::Record { id, .. } | Effect::CheckRecorded { id, .. } => *id,
+            Effect::Withdraw { id, .. } | Effect::MarkInDoubt { id, .. } => *id,
             Effect::Execute { .. } | Effect::Answer { .. } => return,
         };
-        let effects = ledger.step(id, Input::Store(reply));
-        self.take(world, sent.gateway, effects);
+        let effects = operations.step(id, Input::StoreReplied(reply));
+        self.apply_effects(world, sent.gateway, effects);
     }
 }
 
-impl Model for Run {
+impl Model for Setup {
     type State = World;
-    type Action = Act;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
-            gateways: vec![(1, Ledger::by(self.table)), (1, Ledger::by(self.table))],
-            lapsed: Vec::new(),
+            gateways: vec![(1, Operations::with_table(self.table)), (1, Operations::with_table(self.table))],
+            expired_leases: Vec::new(),
             store: Store::default(),
             sent: Vec::new(),
             running: Vec::new(),
             effects: 0,
-            asked: 0,
+            requested: 0,
             answers: BTreeMap::new(),
-            lied: false,
+            false_completion: false,
             losses: self.losses,
             crashes: self.crashes,
         }]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Act>) {
+    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         for gateway in 0..2 {
-            if world.asked < self.asks {
-                actions.push(Act::Ask(gateway));
+            if world.requested < self.requests {
+                actions.push(Step::Request(gateway));
             }
-            if world.crashes > 0 && world.gateways[gateway].1.open() > 0 {
-                actions.push(Act::Crash(gateway));
+            if world.crashes > 0 && world.gateways[gateway].1.unfinished() > 0 {
+                actions.push(Step::Crash(gateway));
             }
-            for id in 0..u64::from(world.asked) {
-                if world.gateways[gateway].1.owes(id) {
-                    actions.push(Act::TimeUp(gateway, id));
+            for id in 0..u64::from(world.requested) {
+                if world.gateways[gateway].1.awaits_answer(id) {
+                    actions.push(Step::DeadlinePassed(gateway, id));
                 }
             }
             for incarnation in 1..world.gateways[gateway].0 {
-                if !world.lapsed.contains(&(gateway, incarnation)) {
-                    actions.push(Act::Lapse(gateway, incarnation));
+                if !world.expired_leases.contains(&(gateway, incarnation)) {
+                    actions.push(Step::ExpireLease(gateway, incarnation));
                 }
             }
         }
-        for (at, sent) in world.sent.iter().enumerate() {
-            actions.push(Act::Store(at, How::Done));
-            if world.losses > 0 && !sent.late {
-                actions.extend([How::DoneUnheard, How::Failed, How::Late].map(|how| Act::Store(at, how)));
+        for (index, sent) in world.sent.iter().enumerate() {
+            actions.push(Step::Store(index, Delivery::Done));
+            if world.losses > 0 && !sent.is_late {
+                actions.extend(
+                    [Delivery::ReplyLost, Delivery::Failed, Delivery::Late]
+                        .map(|delivery| Step::Store(index, delivery)),
+                );
             }
         }
-        for at in 0..world.running.len() {
-            let ends = [(Ran::Completed, true), (Ran::Never, false), (Ran::Maybe, true), (Ran::Maybe, false)];
-            actions.extend(ends.map(|(ran, effect)| Act::Engine(at, ran, effect)));
+        for index in 0..world.running.len() {
+            let ends = [
+                (ExecutionOutcome::Completed, true),
+                (ExecutionOutcome::NotRun, false),
+                (ExecutionOutcome::MaybeRan, true),
+                (ExecutionOutcome::MaybeRan, false),
+            ];
+            actions.extend(ends.map(|(outcome, effect)| Step::Engine(index, outcome, effect)));
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut world = last.clone();
-        match act {
-            Act::Ask(gateway) => {
-                let id = u64::from(world.asked);
-                world.asked += 1;
-                let ask = Input::Ask { key: "k".into(), digest: DIGEST, class: self.class };
-                let effects = world.gateways[gateway].1.step(id, ask);
-                self.take(&mut world, gateway, effects);
+    fn next_state(&self, previous: &World, step: Step) -> Option<World> {
+        let mut world = previous.clone();
+        match step {
+            Step::Request(gateway) => {
+                let id = u64::from(world.requested);
+                world.requested += 1;
+                let begin = Input::Begin { key: "k".into(), digest: DIGEST, class: self.class };
+                let effects = world.gateways[gateway].1.step(id, begin);
+                self.apply_effects(&mut world, gateway, effects);
             }
-            Act::Store(at, how) => {
-                let mut sent = world.sent.remove(at);
-                let lapsed = world.lapsed.clone();
-                let lives = |gateway, incarnation| !lapsed.contains(&(gateway, incarnation));
-                match how {
-                    How::Done => {
-                        let reply = world.store.work(&sent, lives);
-                        self.hear(&mut world, &sent, reply);
+            Step::Store(index, delivery) => {
+                let mut sent = world.sent.remove(index);
+                let expired_leases = world.expired_leases.clone();
+                let has_valid_lease =
+                    |gateway, incarnation| !expired_leases.contains(&(gateway, incarnation));
+                match delivery {
+                    Delivery::Done => {
+                        let reply = world.store.execute(&sent, has_valid_lease);
+                        self.deliver_reply(&mut world, &sent, reply);
                     }
-                    How::DoneUnheard => {
+                    Delivery::ReplyLost => {
                         world.losses -= 1;
-                        world.store.work(&sent, lives);
-                        self.hear(&mut world, &sent, Reply::Lost);
+                        world.store.execute(&sent, has_valid_lease);
+                        self.deliver_reply(&mut world, &sent, Reply::Unknown);
                     }
-                    How::Failed => {
+                    Delivery::Failed => {
                         world.losses -= 1;
-                        self.hear(&mut world, &sent, Reply::Failed);
+                        self.deliver_reply(&mut world, &sent, Reply::Failed);
                     }
-                    How::Late => {
+                    Delivery::Late => {
                         world.losses -= 1;
-                        self.hear(&mut world, &sent, Reply::Lost);
-                        sent.late = true;
+                        self.deliver_reply(&mut world, &sent, Reply::Unknown);
+                        sent.is_late = true;
                         world.sent.push(sent);
                     }
                 }
             }
-            Act::Engine(at, ran, effect) => {
-                let (gateway, incarnation, id) = world.running.remove(at);
-                // Engines drop a repeat of what may be repeated.
+            Step::Engine(index, outcome, effect) => {
+                let (gateway, incarnation, id) = world.running.remove(index);
+                // Engines discard the repetition of a repeatable operation.
                 world.effects +=
-                    u8::from(effect && (self.class == Class::NonIdempotent || world.effects == 0));
+                    u8::from(effect && (self.class == RepeatClass::NonIdempotent || world.effects == 0));
                 if world.gateways[gateway].0 == incarnation {
-                    let effects = world.gateways[gateway].1.step(id, Input::Ran(ran));
-                    self.take(&mut world, gateway, effects);
+                    let effects = world.gateways[gateway].1.step(id, Input::ExecutionEnded(outcome));
+                    self.apply_effects(&mut world, gateway, effects);
                 }
             }
-            Act::TimeUp(gateway, id) => {
-                let effects = world.gateways[gateway].1.step(id, Input::TimeUp);
-                self.take(&mut world, gateway, effects);
+            Step::DeadlinePassed(gateway, id) => {
+                let effects = world.gateways[gateway].1.step(id, Input::DeadlinePassed);
+                self.apply_effects(&mut world, gateway, effects);
             }
-            Act::Crash(gateway) => {
+            Step::Crash(gateway) => {
                 world.crashes -= 1;
-                let (incarnation, ledger) = &mut world.gateways[gateway];
-                (*incarnation, *ledger) = (*incarnation + 1, Ledger::by(self.table));
+                let (incarnation, operations) = &mut world.gateways[gateway];
+                (*incarnation, *operations) = (*incarnation + 1, Operations::with_table(self.table));
             }
-            Act::Lapse(gateway, incarnation) => world.lapsed.push((gateway, incarnation)),
+            Step::ExpireLease(gateway, incarnation) => world.expired_leases.push((gateway, incarnation)),
         }
         Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("acknowledged implies recorded", |_, world: &World| !world.lied),
-            Property::always("recorded at most once", |_, world: &World| world.store.revisions <= 1),
+            Property::always("acknowledged implies recorded", |_, world: &World| !world.false_completion),
+            Property::always("recorded index most once", |_, world: &World| world.store.revisions <= 1),
             Property::always("no two effects of one key", |_, world: &World| world.effects <= 1),
-            Property::always("one answer at most", |_, world: &World| {
+            Property::always("one answer index most", |_, world: &World| {
                 world.answers.values().all(|a| a.len() == 1)
             }),
-            Property::always("rejected only where nothing ran", |run: &Run, world: &World| {
+            Property::always("rejected only where nothing ran", |setup: &Setup, world: &World| {
                 let rejected = |a: &Vec<Answer>| a.contains(&Answer::Rejected);
-                // With one statement alone, nothing else can have had the effect.
-                run.asks > 1 || world.effects == 0 || !world.answers.values().any(rejected)
+                // With several statements, the effect may be that of another one.
+                setup.requests > 1 || world.effects == 0 || !world.answers.values().any(rejected)
             }),
-            Property::always("nothing is left over once all is quiet", |_, world: &World| {
-                let quiet = world.sent.is_empty() && world.running.is_empty();
-                !quiet || world.gateways.iter().all(|(_, ledger)| ledger.open() == 0)
+            Property::always("no operation is unfinished once nothing is in flight", |_, world: &World| {
+                let idle = world.sent.is_empty() && world.running.is_empty();
+                !idle || world.gateways.iter().all(|(_, operations)| operations.unfinished() == 0)
             }),
             Property::sometimes("a load is acknowledged", |_, world: &World| {
                 world.answers.values().any(|answers| answers.contains(&Answer::Completed))
@@ -288,64 +305,79 @@
     }
 }
 
-/// Walks it, and says how far it came.
-fn walk(run: Run) -> (usize, Vec<&'static str>) {
-    let checker = run.checker().threads(4).spawn_bfs().join();
-    let broken = checker.discoveries().into_keys().filter(|name| *name != "a load is acknowledged").collect();
+/// Explores all states. Returns their number and the violated properties.
+fn explore(setup: Setup) -> (usize, Vec<&'static str>) {
+    let checker = setup.checker().threads(4).spawn_bfs().join();
+    let violated =
+        checker.discoveries().into_keys().filter(|name| *name != "a load is acknowledged").collect();
     println!(
-        "{} states, {} of them new, to depth {}",
+        "{} states, {} of them unique, to depth {}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth()
     );
-    (checker.unique_state_count(), broken)
+    (checker.unique_state_count(), violated)
 }
 
 #[test]
-fn acknowledged_is_recorded_once_whatever_fails() {
-    for class in [Class::NonIdempotent, Class::MayRepeat] {
-        let (states, broken) = walk(Run { table: TABLE, class, asks: 2, losses: 2, crashes: 1 });
-        assert!(states > 5_000 && broken.is_empty(), "{class:?}: {broken:?} in {states} states");
+fn acknowledged_is_recorded_once_despite_failures() {
+    for class in [RepeatClass::NonIdempotent, RepeatClass::Repeatable] {
+        let (states, violated) =
+            explore(Setup { table: TRANSITIONS, class, requests: 2, losses: 2, crashes: 1 });
+        assert!(states > 5_000 && violated.is_empty(), "{class:?}: {violated:?} in {states} states");
     }
-    let (_, broken) = walk(Run { table: TABLE, class: Class::NonIdempotent, asks: 1, losses: 4, crashes: 2 });
-    assert!(broken.is_empty(), "{broken:?}");
+    let (_, violated) = explore(Setup {
+        table: TRANSITIONS,
+        class: RepeatClass::NonIdempotent,
+        requests: 1,
+        losses: 4,
+        crashes: 2,
+    });
+    assert!(violated.is_empty(), "{violated:?}");
 }
 
-/// The wide one: `cargo test --release -p bramblewharf-record --test model -- --ignored --nocapture`.
+/// With wider bounds: `cargo test --release -p bramblewharf-record --test model -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
-fn the_same_wider() {
-    for class in [Class::NonIdempotent, Class::MayRepeat] {
-        let (_, broken) = walk(Run { table: TABLE, class, asks: 3, losses: 2, crashes: 1 });
-        assert!(broken.is_empty(), "{class:?}: {broken:?}");
+fn acknowledged_is_recorded_once_with_wider_bounds() {
+    for class in [RepeatClass::NonIdempotent, RepeatClass::Repeatable] {
+        let (_, violated) = explore(Setup { table: TRANSITIONS, class, requests: 3, losses: 2, crashes: 1 });
+        assert!(violated.is_empty(), "{class:?}: {violated:?}");
     }
 }
 
-fn table_with(at: At, event: Event, row: Row) -> &'static [Row] {
-    let mut table = TABLE.to_vec();
-    let wrong = table.iter_mut().find(|row| row.0 == at && row.1 == event).expect("a row");
-    *wrong = row;
+fn transitions_with(state: State, event: Event, transition: Transition) -> &'static [Transition] {
+    let mut table = TRANSITIONS.to_vec();
+    let replaced = table
+        .iter_mut()
+        .find(|transition| transition.0 == state && transition.1 == event)
+        .expect("a transition");
+    *replaced = transition;
     table.leak()
 }
 
-/// Wrong tables are noticed: completed before it is durable, an unclear one run again, a lost record written again without a
-/// look, a rejection of what may have run.
+/// The model detects wrong tables: completed before the revision is durable, an operation in doubt that is
+/// executed again, a write of unknown outcome that counts as done without a check, a rejection of what may
+/// have run, and an operation that never ends.
 #[test]
-fn a_wrong_ledger_is_caught() {
-    let early = (At::Running, Event::Completed, Some(At::Recording), Step::Record, Some(Answer::Completed));
-    let again = (At::Intending, Event::Unclear, Some(At::Intending), Step::IntendAgain, None);
-    let blind = (At::Recording, Event::Lost, None, Step::Rest, Some(Answer::Completed));
-    let maybe = (At::Running, Event::Maybe, Some(At::Leaving), Step::Withdraw, Some(Answer::Rejected));
-    let stuck = (At::Looking, Event::Absent, Some(At::Looking), Step::Rest, None);
-    for (row, broken) in [
+fn wrong_transitions_are_detected() {
+    let early =
+        (State::Running, Event::Completed, Some(State::Recording), Action::Record, Some(Answer::Completed));
+    let rerun = (State::Intending, Event::InDoubt, Some(State::Intending), Action::ReplaceIntent, None);
+    let blind = (State::Recording, Event::Unknown, None, Action::Nothing, Some(Answer::Completed));
+    let maybe =
+        (State::Running, Event::MaybeRan, Some(State::Cleanup), Action::Withdraw, Some(Answer::Rejected));
+    let stuck = (State::Checking, Event::NotRecorded, Some(State::Checking), Action::Nothing, None);
+    for (transition, violated) in [
         (early, "acknowledged implies recorded"),
-        (again, "no two effects of one key"),
+        (rerun, "no two effects of one key"),
         (blind, "acknowledged implies recorded"),
         (maybe, "no two effects of one key"),
-        (stuck, "nothing is left over once all is quiet"),
+        (stuck, "no operation is unfinished once nothing is in flight"),
     ] {
-        let table = table_with(row.0, row.1, row);
-        let (_, found) = walk(Run { table, class: Class::NonIdempotent, asks: 2, losses: 2, crashes: 1 });
-        assert!(found.contains(&broken), "{row:?}: {found:?}");
+        let table = transitions_with(transition.0, transition.1, transition);
+        let (_, found) =
+            explore(Setup { table, class: RepeatClass::NonIdempotent, requests: 2, losses: 2, crashes: 1 });
+        assert!(found.contains(&violated), "{transition:?}: {found:?}");
     }
 }
