--- a/crates/bodies/src/spool.rs
+++ b/crates/bodies/src/spool.rs
@@ -88,12 +88,12 @@
         let lock = File::create_new(temporary.path().join(LOCK_FILE))?;
         lock.try_lock().map_err(|e| io::Error::other(e.to_string()))?;
         let temporary = temporary.keep();
-        let name = temporary
+        let final_name = temporary
             .file_name()
             .unwrap_or_default()
             .to_string_lossy()
             .replace(TEMPORARY_PREFIX, DIRECTORY_PREFIX);
-        let path = dir.join(name);
+        let path = dir.join(final_name);
         fs::rename(&temporary, &path)?;
         Ok(SpoolDirectory { path, _lock: lock, removed })
     }
--- a/crates/bodies/tests/accounting.rs
+++ b/crates/bodies/tests/accounting.rs
@@ -313,9 +313,9 @@
         vec![Effect::Accept(1, Tier::Memory)]
     );
     let mut seen = Vec::new();
-    let refused_at = (0..64).find(|&step| {
+    let refused_at = (0..64).find(|&round| {
         let effects = accounting.step(1, Input::Received(GROWTH_STEP_BYTES));
-        seen.extend(effects.iter().map(|effect| (step, *effect)));
+        seen.extend(effects.iter().map(|effect| (round, *effect)));
         if effects.contains(&Effect::Spill(1)) {
             accounting.step(1, Input::Spilled);
         }
--- a/crates/record/src/operations.rs
+++ b/crates/record/src/operations.rs
@@ -123,6 +123,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     Intended,
+    /// The client has its answer already, as the deadline has passed.
     IntendedTooLate,
     Recorded,
     Conflict,
@@ -133,8 +134,10 @@
     Fenced,
     Done,
     Failed,
+    /// Failed, with no retries left.
     FailedTooOften,
     Unknown,
+    /// Unknown, with no retries left.
     UnknownTooOften,
     Completed,
     NotRun,
--- a/crates/record/tests/model.rs
+++ b/crates/record/tests/model.rs
@@ -101,7 +101,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum ModelAction {
     Request(usize),
     /// A transaction reaches the store, with this result.
     Store(usize, Delivery),
@@ -163,7 +163,7 @@
 
 impl Model for Setup {
     type State = World;
-    type Action = Step;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
@@ -181,31 +181,31 @@
         }]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
+    fn actions(&self, world: &World, actions: &mut Vec<ModelAction>) {
         for gateway in 0..2 {
             if world.requested < self.requests {
-                actions.push(Step::Request(gateway));
+                actions.push(ModelAction::Request(gateway));
             }
             if world.crashes > 0 && world.gateways[gateway].1.unfinished() > 0 {
-                actions.push(Step::Crash(gateway));
+                actions.push(ModelAction::Crash(gateway));
             }
             for id in 0..u64::from(world.requested) {
                 if world.gateways[gateway].1.awaits_answer(id) {
-                    actions.push(Step::DeadlinePassed(gateway, id));
+                    actions.push(ModelAction::DeadlinePassed(gateway, id));
                 }
             }
             for incarnation in 1..world.gateways[gateway].0 {
                 if !world.expired_leases.contains(&(gateway, incarnation)) {
-                    actions.push(Step::ExpireLease(gateway, incarnation));
+                    actions.push(ModelAction::ExpireLease(gateway, incarnation));
                 }
             }
         }
         for (index, sent) in world.sent.iter().enumerate() {
-            actions.push(Step::Store(index, Delivery::Done));
+            actions.push(ModelAction::Store(index, Delivery::Done));
             if world.losses > 0 && !sent.is_late {
                 actions.extend(
                     [Delivery::ReplyLost, Delivery::Failed, Delivery::Late]
-                        .map(|delivery| Step::Store(index, delivery)),
+                        .map(|delivery| ModelAction::Store(index, delivery)),
                 );
             }
         }
@@ -216,21 +216,21 @@
                 (ExecutionOutcome::MaybeRan, true),
                 (ExecutionOutcome::MaybeRan, false),
             ];
-            actions.extend(ends.map(|(outcome, effect)| Step::Engine(index, outcome, effect)));
+            actions.extend(ends.map(|(outcome, effect)| ModelAction::Engine(index, outcome, effect)));
         }
     }
 
-    fn next_state(&self, previous: &World, step: Step) -> Option<World> {
+    fn next_state(&self, previous: &World, action: ModelAction) -> Option<World> {
         let mut world = previous.clone();
-        match step {
-            Step::Request(gateway) => {
+        match action {
+            ModelAction::Request(gateway) => {
                 let id = u64::from(world.requested);
                 world.requested += 1;
                 let begin = Input::Begin { key: "k".into(), digest: DIGEST, class: self.class };
                 let effects = world.gateways[gateway].1.step(id, begin);
                 self.apply_effects(&mut world, gateway, effects);
             }
-            Step::Store(index, delivery) => {
+            ModelAction::Store(index, delivery) => {
                 let mut sent = world.sent.remove(index);
                 let expired_leases = world.expired_leases.clone();
                 let has_valid_lease =
@@ -257,7 +257,7 @@
                     }
                 }
             }
-            Step::Engine(index, outcome, effect) => {
+            ModelAction::Engine(index, outcome, effect) => {
                 let (gateway, incarnation, id) = world.running.remove(index);
                 // Engines discard the repetition of a repeatable operation.
                 world.effects +=
@@ -267,16 +267,18 @@
                     self.apply_effects(&mut world, gateway, effects);
                 }
             }
-            Step::DeadlinePassed(gateway, id) => {
+            ModelAction::DeadlinePassed(gateway, id) => {
                 let effects = world.gateways[gateway].1.step(id, Input::DeadlinePassed);
                 self.apply_effects(&mut world, gateway, effects);
             }
-            Step::Crash(gateway) => {
+            ModelAction::Crash(gateway) => {
                 world.crashes -= 1;
                 let (incarnation, operations) = &mut world.gateways[gateway];
                 (*incarnation, *operations) = (*incarnation + 1, Operations::with_table(self.table));
             }
-            Step::ExpireLease(gateway, incarnation) => world.expired_leases.push((gateway, incarnation)),
+            ModelAction::ExpireLease(gateway, incarnation) => {
+                world.expired_leases.push((gateway, incarnation))
+            }
         }
         Some(world)
     }
@@ -284,9 +286,9 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("acknowledged implies recorded", |_, world: &World| !world.false_completion),
-            Property::always("recorded index most once", |_, world: &World| world.store.revisions <= 1),
+            Property::always("recorded at most once", |_, world: &World| world.store.revisions <= 1),
             Property::always("no two effects of one key", |_, world: &World| world.effects <= 1),
-            Property::always("one answer index most", |_, world: &World| {
+            Property::always("one answer at most", |_, world: &World| {
                 world.answers.values().all(|a| a.len() == 1)
             }),
             Property::always("rejected only where nothing ran", |setup: &Setup, world: &World| {
--- a/crates/record/tests/sqlite.rs
+++ b/crates/record/tests/sqlite.rs
@@ -160,7 +160,7 @@
         for store in &mut stores {
             store.clock_offset = clock_offset;
         }
-        (0..2).for_each(|gateway| assert_eq!(stores[gateway].renew_lease(&owners[gateway]), Reply::Done));
+        (0..2).for_each(|index| assert_eq!(stores[index].renew_lease(&owners[index]), Reply::Done));
         let digest = Digest::of(&bytes(&key));
         let mut queue = operations[gateway].step(id, Input::Begin { key: key.clone(), digest, class });
         let mut random = u32::from(seed);
