--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -2,8 +2,8 @@
 //! even put together above it.
 
 use crate::reducer::{Answer, Ending, Input};
-use bramblewharf::choice::{Refusal, Rule};
 use bramblewharf::interface::Id;
+use bramblewharf::scheduler::{Refusal, Rule};
 use slog::{Drain as _, Logger};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -2,8 +2,8 @@
 
 mod wire;
 
-use bramblewharf::choice::Chooser;
 use bramblewharf::interface::{Action, Event};
+use bramblewharf::scheduler::Chooser;
 use bramblewharf_site::Names;
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
--- a/src/choice.rs
+++ b/src/scheduler.rs
@@ -2,17 +2,17 @@
 //! with the time since the start, and carry out the `Action`s it returns, in order. It does no I/O and shares
 //! nothing. Its interface is in `interface.rs`; why it decides as it does, in `docs/design.md`.
 
-mod gate;
-mod lease;
+mod list_lease;
+mod send_guard;
 
 use crate::interface::*;
 use crate::state::*;
 use bramblewharf_budgets::Claim;
 use bramblewharf_turns::{mix, signals, subsets, Draw, Reach, Signals, Turn};
-use gate::misplaced;
-pub use gate::Rule;
-use lease::{ListLease, Stale};
+use list_lease::{ListLease, Stale};
 use nanorand::{Rng, WyRand};
+use send_guard::misplaced;
+pub use send_guard::Rule;
 use std::cell::{Cell, LazyCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Deref;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers, without any decision: the decisions are in `choice.rs`.
+//! What a gateway remembers, without any decision: the decisions are in `scheduler.rs`.
 
 use crate::interface::*;
 use bramblewharf_turns::{Mark, Part};
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -2,8 +2,8 @@
 //! restart without knowing what their forerunners sent, and gateways that go by another number of gateways.
 
 mod common;
-use bramblewharf::choice::Chooser;
 use bramblewharf::interface::*;
+use bramblewharf::scheduler::Chooser;
 use common::*;
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small site and a hand on the module, shared by the tests.
 #![allow(dead_code)]
 
-use bramblewharf::choice::Chooser;
 use bramblewharf::interface::*;
+use bramblewharf::scheduler::Chooser;
 use std::time::Duration;
 
 pub fn ms(n: u64) -> Duration {
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,8 +1,8 @@
 //! The lease on the list of engines: how long it may be acted on where a name service is asked.
 
 mod common;
-use bramblewharf::choice::{Refusal, Rule};
 use bramblewharf::interface::*;
+use bramblewharf::scheduler::{Refusal, Rule};
 use common::*;
 use std::time::Duration;
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,8 +1,8 @@
 //! A slow, plain model of the seven rules beside the module, on generated input with a fixed seed.
 
 mod common;
-use bramblewharf::choice::Rule;
 use bramblewharf::interface::*;
+use bramblewharf::scheduler::Rule;
 use common::*;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::time::Duration;
--- a/tests/choice.rs
+++ b/tests/scheduler.rs
@@ -586,7 +586,7 @@
 /// The gate is asked once more right before the first byte goes out: what has come since takes the decision back.
 #[test]
 fn what_has_come_since_a_decision_takes_it_back() {
-    use bramblewharf::choice::Rule;
+    use bramblewharf::scheduler::Rule;
     let start = || {
         let mut hand = Hand::new(site(vec![workload(Deduplicated(DedupGroup::All))]), 3);
         let (id, engine) = hand.sent(0);
