--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! A slow, plain model of the seven rules beside the module, on generated input with a fixed seed.
+//! Compares the scheduler with a slow, simple model of the seven rules, on generated input with a fixed seed.
 
 mod common;
 use bramblewharf::interface::*;
@@ -18,186 +18,215 @@
 }
 
 #[rustfmt::skip]
-struct Sent { engine: usize, at: Duration, ends: Duration, outcome: Option<(Outcome, Duration)> }
+struct Attempt { engine: usize, at: Duration, times_out_at: Duration, outcome: Option<(Outcome, Duration)> }
 
 #[rustfmt::skip]
-struct Stmt { id: Id, workload: usize, key: Option<Id>, taken: Duration, until: Duration, over: bool, kept: bool, sent: Vec<Sent> }
+struct ModelStatement { id: Id, workload: usize, key: Option<Id>, accepted: Duration, deadline: Duration, done: bool, replayable: bool, attempts: Vec<Attempt> }
 
 #[rustfmt::skip]
-struct Model { site: Site, engines: Vec<EngineEntry>, stmts: Vec<Stmt> }
+struct Model { site: Site, engines: Vec<EngineEntry>, statements: Vec<ModelStatement> }
 
 impl Model {
-    /// What the rules say of sending statement `s` to engine `e` now; cold engines are judged by `cold`.
-    fn breaks(&self, now: Duration, s: usize, e: usize) -> Vec<Rule> {
-        let (stmt, to) = (&self.stmts[s], &self.engines[e]);
-        let terms = &self.site.workloads[stmt.workload];
-        let ran =
-            |x: &&Sent| !matches!(x.outcome, Some((Outcome::Full | Outcome::Refused | Outcome::Skipped, _)));
-        let mut broken = Vec::new();
-        if stmt.over || now + self.site.tick >= stmt.until || stmt.sent.len() >= self.site.execution_limit {
-            broken.push(Rule::OneAnswer);
+    /// Rules that forbid sending statement `s` to engine `e` now, without the rule on cold engines.
+    fn violated_rules(&self, now: Duration, s: usize, e: usize) -> Vec<Rule> {
+        let (statement, to) = (&self.statements[s], &self.engines[e]);
+        let config = &self.site.workloads[statement.workload];
+        let may_have_run = |x: &&Attempt| {
+            !matches!(x.outcome, Some((Outcome::Full | Outcome::Refused | Outcome::Skipped, _)))
+        };
+        let mut violated = Vec::new();
+        if statement.done
+            || now + self.site.tick >= statement.deadline
+            || statement.attempts.len() >= self.site.max_executions
+        {
+            violated.push(Rule::OneAnswer);
         }
-        let allowed = |x: &Sent| match terms.effect {
+        let allowed = |x: &Attempt| match config.effect {
             Idempotent => true,
             NonIdempotent => false,
-            Deduplicated(group) => {
+            Deduplicated(scope) => {
                 let from = &self.engines[x.engine];
-                let near = match group {
-                    DedupGroup::All => true,
-                    DedupGroup::Zone => from.zone == to.zone,
-                    DedupGroup::Cell => from.cell == to.cell,
+                let in_scope = match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => from.zone == to.zone,
+                    DedupScope::Cell => from.cell == to.cell,
                 };
-                near && now < x.at + terms.dedup_span
+                in_scope && now < x.at + config.dedup_window
             }
         };
-        let touched = |x: &Sent| !matches!(x.outcome, Some((Outcome::Refused, _)));
-        if !stmt.kept && stmt.sent.iter().any(touched) {
-            broken.push(Rule::Text);
+        let body_sent = |x: &Attempt| !matches!(x.outcome, Some((Outcome::Refused, _)));
+        if !statement.replayable && statement.attempts.iter().any(body_sent) {
+            violated.push(Rule::Text);
         }
-        let out = stmt.sent.iter().any(|x| x.outcome.is_none());
-        if out || !stmt.sent.iter().filter(ran).all(allowed) {
-            broken.push(Rule::NoDoubleEffect);
+        let in_flight = statement.attempts.iter().any(|x| x.outcome.is_none());
+        if in_flight || !statement.attempts.iter().filter(may_have_run).all(allowed) {
+            violated.push(Rule::NoDoubleEffect);
         }
         if to.state != EngineState::In {
-            broken.push(Rule::Drain);
+            violated.push(Rule::Drain);
         }
-        if terms.ordered && stmt.key.is_some() {
-            let ordered = |o: &&Stmt| o.key == stmt.key && self.site.workloads[o.workload].ordered;
-            let earlier = self.stmts[..s].iter().filter(ordered);
-            let rests = |x: &Sent| {
+        if config.ordered && statement.key.is_some() {
+            let ordered =
+                |o: &&ModelStatement| o.key == statement.key && self.site.workloads[o.workload].ordered;
+            let earlier = self.statements[..s].iter().filter(ordered);
+            let blocks = |x: &Attempt| {
                 let unclear = |o| matches!(o, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
                 x.outcome.is_some_and(|(o, at)| unclear(o) && now < at + self.site.order_pause)
             };
-            let open = |o: &Stmt| !o.over || o.sent.iter().any(|x| x.outcome.is_none() || rests(x));
+            let open =
+                |o: &ModelStatement| !o.done || o.attempts.iter().any(|x| x.outcome.is_none() || blocks(x));
             if earlier.into_iter().any(open) {
-                broken.push(Rule::Order);
+                violated.push(Rule::Order);
             }
         }
-        if terms.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&to.kind)) {
-            broken.push(Rule::Placement);
+        if config.kinds.as_ref().is_some_and(|kinds| !kinds.contains(&to.kind)) {
+            violated.push(Rule::Placement);
         }
-        let budget = self.site.budget.as_ref().unwrap();
-        let taken = self.stmts.iter().filter(|o| o.taken + budget.span > now).count() as f64;
-        let further = self.stmts.iter().flat_map(|o| o.sent.iter().skip(1));
-        let made = further.filter(|x| x.at + budget.span >= now).count() as f64;
-        if !stmt.sent.is_empty() && made + 1.0 > budget.free + budget.share * taken {
-            broken.push(Rule::Budget);
+        let budget = self.site.retry_budget.as_ref().unwrap();
+        let accepted = self.statements.iter().filter(|o| o.accepted + budget.window > now).count() as f64;
+        let all_retries = self.statements.iter().flat_map(|o| o.attempts.iter().skip(1));
+        let retries = all_retries.filter(|x| x.at + budget.window >= now).count() as f64;
+        if !statement.attempts.is_empty()
+            && retries + 1.0 > budget.min_retries + budget.retry_ratio * accepted
+        {
+            violated.push(Rule::Budget);
         }
-        broken
+        violated
     }
 
-    /// Work sent to a cold engine in the window before now, against what all gateways may send together.
-    fn cold_is_pushed(&self, now: Duration, e: usize) -> bool {
-        let (cold, started) = (&self.site.cold, self.engines[e].started);
-        let sends = self.stmts.iter().flat_map(|o| &o.sent).filter(|x| x.engine == e);
-        let lately = sends.filter(|x| x.at > started && x.at + cold.window >= now).count() as f64;
+    /// Whether this gateway has sent a cold engine more in the last window than its share of what all gateways may send.
+    fn exceeds_cold_share(&self, now: Duration, e: usize) -> bool {
+        let (cold, started) = (&self.site.slow_start, self.engines[e].started);
+        let sends = self.statements.iter().flat_map(|o| &o.attempts).filter(|x| x.engine == e);
+        let recent = sends.filter(|x| x.at > started && x.at + cold.window >= now).count() as f64;
         let cores = if &*self.engines[e].kind == "k4" { 4.0 } else { 8.0 };
-        let stands = cores * 0.85 * cold.capacity * cold.multiple * cold.window.as_secs_f64();
+        let limit = cores * 0.85 * cold.capacity * cold.multiple * cold.window.as_secs_f64();
         let is_cold = !started.is_zero() && now < started + cold.warm_after;
-        is_cold && lately * 0.1 > stands / f64::from(self.site.gateways)
+        is_cold && recent * 0.1 > limit / f64::from(self.site.gateways)
     }
 }
 
 struct Run {
-    hand: Hand,
+    harness: Harness,
     model: Model,
-    next_beat: Duration,
+    next_tick: Duration,
 }
 
 impl Run {
     fn new() -> Run {
-        let groups = [DedupGroup::All, DedupGroup::Zone, DedupGroup::Cell].map(Deduplicated);
+        let groups = [DedupScope::All, DedupScope::Zone, DedupScope::Cell].map(Deduplicated);
         let effects = [Idempotent, groups[0], groups[1], groups[2], NonIdempotent, Idempotent];
         let mut workloads = effects.map(workload).to_vec();
         workloads[5].kinds = Some(vec!["k8".into()]);
         workloads[0].ordered = true;
         workloads[4].ordered = true;
         workloads[1].holds_group = true;
-        let mut terms = site(workloads);
-        terms.gateways = 2;
-        terms.budget = Some(Budget { span: ms(1000), free: 2.0, share: 0.2 });
+        let mut config = site(workloads);
+        config.gateways = 2;
+        config.retry_budget = Some(RetryBudget { window: ms(1000), min_retries: 2.0, retry_ratio: 0.2 });
         let engines: Vec<_> = (0..5).map(engine).collect();
-        let hand = Hand::new(terms.clone(), 5);
-        let next_beat = hand.now + ms(50);
-        Run { hand, model: Model { site: terms, engines, stmts: Vec::new() }, next_beat }
+        let harness = Harness::new(config.clone(), 5);
+        let next_tick = harness.now + ms(50);
+        Run { harness, model: Model { site: config, engines, statements: Vec::new() }, next_tick }
     }
 
     fn apply(&mut self, actions: Vec<Action>) {
-        let now = self.hand.now;
+        let now = self.harness.now;
         for action in actions {
             match action {
                 Action::Send { id, engine, timeout } => {
                     let s = self.find(&id);
                     let e = self.model.engines.iter().position(|x| x.id == engine).expect("a known engine");
-                    let broken = self.model.breaks(now, s, e);
-                    assert!(broken.is_empty(), "{id} to {engine} breaks {broken:?}");
-                    let stmt = &mut self.model.stmts[s];
-                    let ends = (now + timeout).min(stmt.until);
-                    stmt.sent.push(Sent { engine: e, at: now, ends, outcome: None });
-                    assert!(!self.model.cold_is_pushed(now, e), "{engine} is pushed over");
+                    let violated = self.model.violated_rules(now, s, e);
+                    assert!(violated.is_empty(), "{id} to {engine} breaks {violated:?}");
+                    let statement = &mut self.model.statements[s];
+                    let times_out_at = (now + timeout).min(statement.deadline);
+                    statement.attempts.push(Attempt { engine: e, at: now, times_out_at, outcome: None });
+                    assert!(
+                        !self.model.exceeds_cold_share(now, e),
+                        "{engine} gets more than its share as a cold engine"
+                    );
                 }
                 Action::Reject { id, .. } => {
                     let s = self.find(&id);
-                    let stmt = &mut self.model.stmts[s];
-                    let effect = self.model.site.workloads[stmt.workload].effect;
-                    let ran = |x: &Sent| !matches!(x.outcome, Some((Outcome::Full | Outcome::Refused, _)));
-                    let harmless = matches!(effect, Idempotent | Deduplicated(DedupGroup::All));
-                    assert!(harmless || !stmt.sent.iter().any(ran), "{id} is rejected but may have run");
-                    assert!(!std::mem::replace(&mut stmt.over, true), "{id} is answered twice");
+                    let statement = &mut self.model.statements[s];
+                    let effect = self.model.site.workloads[statement.workload].effect;
+                    let may_have_run =
+                        |x: &Attempt| !matches!(x.outcome, Some((Outcome::Full | Outcome::Refused, _)));
+                    let harmless = matches!(effect, Idempotent | Deduplicated(DedupScope::All));
+                    assert!(
+                        harmless || !statement.attempts.iter().any(may_have_run),
+                        "{id} is rejected but may have run"
+                    );
+                    assert!(!std::mem::replace(&mut statement.done, true), "{id} is answered twice");
                 }
                 Action::Abort { id } => {
                     let s = self.find(&id);
                     assert!(
-                        !std::mem::replace(&mut self.model.stmts[s].over, true),
+                        !std::mem::replace(&mut self.model.statements[s].done, true),
                         "{id} is answered twice"
                     );
                 }
-                Action::Timer { delay, .. } => self.next_beat = now + delay,
+                Action::Timer { delay, .. } => self.next_tick = now + delay,
                 _ => {}
             }
         }
-        for s in 0..self.model.stmts.len() {
-            let stmt = &self.model.stmts[s];
-            assert!(stmt.over || now <= stmt.until + ms(20), "{} has no answer in time", stmt.id);
-            for e in (0..self.model.engines.len()).filter(|_| !stmt.over) {
-                let module = self.hand.chooser.forbids(now, &stmt.id, &self.model.engines[e].id);
-                let allowed = self.model.breaks(now, s, e).is_empty();
-                let agrees = matches!(module, None | Some(Rule::Cold)) == allowed;
-                assert!(agrees, "{} to engine {e}: module {module:?}, model allows: {allowed}", stmt.id);
+        for s in 0..self.model.statements.len() {
+            let statement = &self.model.statements[s];
+            assert!(
+                statement.done || now <= statement.deadline + ms(20),
+                "{} has no answer in time",
+                statement.id
+            );
+            for e in (0..self.model.engines.len()).filter(|_| !statement.done) {
+                let actual = self.harness.scheduler.forbids(now, &statement.id, &self.model.engines[e].id);
+                let allowed = self.model.violated_rules(now, s, e).is_empty();
+                let agrees = matches!(actual, None | Some(Rule::Cold)) == allowed;
+                assert!(
+                    agrees,
+                    "{} to engine {e}: scheduler {actual:?}, model allows: {allowed}",
+                    statement.id
+                );
             }
         }
     }
 
     fn find(&self, id: &Id) -> usize {
-        self.model.stmts.iter().position(|s| s.id == *id).expect("a known statement")
+        self.model.statements.iter().position(|s| s.id == *id).expect("a known statement")
     }
 
     fn end(&mut self, s: usize, x: usize, outcome: Outcome) {
-        let now = self.hand.now;
-        let stmt = &mut self.model.stmts[s];
-        stmt.sent[x].outcome = Some((outcome, now));
-        stmt.over |= outcome == Outcome::Completed;
-        let (id, over, engine) = (stmt.id.clone(), stmt.over, stmt.sent[x].engine);
+        let now = self.harness.now;
+        let statement = &mut self.model.statements[s];
+        statement.attempts[x].outcome = Some((outcome, now));
+        statement.done |= outcome == Outcome::Completed;
+        let (id, is_final, engine) = (statement.id.clone(), statement.done, statement.attempts[x].engine);
         let engine = self.model.engines[engine].id.clone();
-        let actions = self.hand.event(Event::Ended(Ended { over, ..ended(&id, x, &engine, outcome) }));
+        let actions = self
+            .harness
+            .event(Event::ExecutionEnded(ExecutionEnd { is_final, ..ended(&id, x, &engine, outcome) }));
         self.apply(actions);
     }
 
-    fn out(&self, due: impl Fn(&Sent) -> bool) -> Vec<(usize, usize)> {
-        let stmts = self.model.stmts.iter().enumerate();
-        let all = stmts.flat_map(|(s, stmt)| stmt.sent.iter().enumerate().map(move |(x, sent)| (s, x, sent)));
-        all.filter(|(_, _, sent)| sent.outcome.is_none() && due(sent)).map(|(s, x, _)| (s, x)).collect()
+    fn in_flight(&self, due: impl Fn(&Attempt) -> bool) -> Vec<(usize, usize)> {
+        let statements = self.model.statements.iter().enumerate();
+        let all = statements.flat_map(|(s, statement)| {
+            statement.attempts.iter().enumerate().map(move |(x, attempt)| (s, x, attempt))
+        });
+        all.filter(|(_, _, attempt)| attempt.outcome.is_none() && due(attempt))
+            .map(|(s, x, _)| (s, x))
+            .collect()
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         for _ in 0..time / 5 {
-            self.hand.now += ms(5);
-            let now = self.hand.now;
-            for (s, x) in self.out(|sent| now >= sent.ends) {
+            self.harness.now += ms(5);
+            let now = self.harness.now;
+            for (s, x) in self.in_flight(|attempt| now >= attempt.times_out_at) {
                 self.end(s, x, Outcome::TimedOut);
             }
-            if now >= self.next_beat {
-                let actions = self.hand.beat(0);
+            if now >= self.next_tick {
+                let actions = self.harness.advance(0);
                 self.apply(actions);
             }
         }
@@ -209,49 +238,50 @@
             0..=4 => {
                 let (workload, key) = (a as usize % 6, (b % 4 > 0).then(|| format!("k{}", b % 3).into()));
                 let (id, time_left) =
-                    (format!("s{}", self.model.stmts.len() + 1).into(), ms(200 + 10 * b as u64));
-                let taken = self.hand.now;
-                let until = taken + time_left;
-                let kept = a % 3 > 0;
-                let stmt = Stmt {
+                    (format!("s{}", self.model.statements.len() + 1).into(), ms(200 + 10 * b as u64));
+                let accepted = self.harness.now;
+                let deadline = accepted + time_left;
+                let replayable = a % 3 > 0;
+                let statement = ModelStatement {
                     id,
                     workload,
                     key: key.clone(),
-                    taken,
-                    until,
-                    over: false,
-                    kept,
-                    sent: Vec::new(),
+                    accepted,
+                    deadline,
+                    done: false,
+                    replayable,
+                    attempts: Vec::new(),
                 };
-                self.model.stmts.push(stmt);
-                let (_, actions) = self.hand.statement(workload, |s| {
+                self.model.statements.push(statement);
+                let (_, actions) = self.harness.statement(workload, |s| {
                     (s.key, s.time_left, s.table_group) = (key.clone(), time_left, Some(u64::from(b % 2)));
-                    s.kept = kept;
+                    s.replayable = replayable;
                 });
                 self.apply(actions);
             }
             5..=10 => {
-                let out = self.out(|_| true);
-                if let Some(&(s, x)) = out.get(a as usize % out.len().max(1)) {
+                let in_flight = self.in_flight(|_| true);
+                if let Some(&(s, x)) = in_flight.get(a as usize % in_flight.len().max(1)) {
                     let outcomes = [Completed, Completed, Completed, Error, Full, Refused, Reset, Cancelled];
                     self.end(s, x, outcomes[b as usize % 8]);
                 }
             }
             11 => {
                 let open: Vec<_> =
-                    (0..self.model.stmts.len()).filter(|s| !self.model.stmts[*s].over).collect();
+                    (0..self.model.statements.len()).filter(|s| !self.model.statements[*s].done).collect();
                 if let Some(&s) = open.get(a as usize % open.len().max(1)) {
-                    self.model.stmts[s].over = true;
-                    let actions = self.hand.event(Event::ClientGone(self.model.stmts[s].id.clone()));
+                    self.model.statements[s].done = true;
+                    let actions =
+                        self.harness.event(Event::ClientDisconnected(self.model.statements[s].id.clone()));
                     self.apply(actions);
                 }
             }
             13 => {
                 let open: Vec<_> =
-                    (0..self.model.stmts.len()).filter(|s| !self.model.stmts[*s].over).collect();
+                    (0..self.model.statements.len()).filter(|s| !self.model.statements[*s].done).collect();
                 if let Some(&s) = open.get(a as usize % open.len().max(1)) {
-                    self.model.stmts[s].kept = false;
-                    let actions = self.hand.event(Event::Unkept(self.model.stmts[s].id.clone()));
+                    self.model.statements[s].replayable = false;
+                    let actions = self.harness.event(Event::BodyLost(self.model.statements[s].id.clone()));
                     self.apply(actions);
                 }
             }
@@ -259,27 +289,27 @@
                 let entry = &mut self.model.engines[a as usize % 5];
                 entry.state = [EngineState::In, EngineState::In, EngineState::Draining][b as usize % 3];
                 if b % 5 == 0 {
-                    entry.started = self.hand.now;
+                    entry.started = self.harness.now;
                 }
                 let entry = entry.clone();
-                let actions = self.hand.event(Event::Engines(ListKind::Changes, vec![entry]));
+                let actions = self.harness.event(Event::EngineList(ListKind::Delta, vec![entry]));
                 self.apply(actions);
             }
-            _ => self.pass(u64::from(a)),
+            _ => self.advance(u64::from(a)),
         }
     }
 }
 
 #[test]
-fn the_module_keeps_the_rules_and_allows_what_they_allow() {
-    fn keeps(ops: Ops) -> bool {
+fn the_scheduler_forbids_exactly_what_the_rules_forbid() {
+    fn agrees_with_the_model(ops: Ops) -> bool {
         let mut run = Run::new();
         ops.0.into_iter().for_each(|op| run.step(op));
-        run.pass(4000);
-        run.model.stmts.iter().all(|stmt| stmt.over)
+        run.advance(4000);
+        run.model.statements.iter().all(|statement| statement.done)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 20_261))
         .tests(150)
-        .quickcheck(keeps as fn(Ops) -> bool);
+        .quickcheck(agrees_with_the_model as fn(Ops) -> bool);
 }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,4 +1,4 @@
-//! The walk over a subset: what a gateway of a large fleet looks at, and what it goes on reaching whatever is lost.
+//! Selection within a subset: which engines a gateway of a large fleet examines, and which it can still use whatever is lost.
 
 mod common;
 use bramblewharf::interface::*;
@@ -7,115 +7,126 @@
 use std::time::Duration;
 
 fn fleet(gateway: u32, gateways: u32) -> Site {
-    let mut terms = site(vec![workload(Effect::Idempotent), workload(Effect::Idempotent)]);
-    (terms.gateway, terms.gateways) = (gateway, gateways);
-    terms.kinds = vec![
+    let mut config = site(vec![workload(Effect::Idempotent), workload(Effect::Idempotent)]);
+    (config.gateway, config.gateways) = (gateway, gateways);
+    config.kinds = vec![
         Kind { name: "k4".into(), cores: Some(16.0), mem_mb: None },
         Kind { name: "k8".into(), cores: Some(16.0), mem_mb: None },
         Kind { name: "rare".into(), cores: Some(16.0), mem_mb: None },
     ];
-    terms
+    config
 }
 
 fn list(engines: usize) -> Vec<EngineEntry> {
     (0..engines).map(|n| EngineEntry { kind: "k4".into(), ..engine(n) }).collect()
 }
 
-fn hand(site: Site, list: Vec<EngineEntry>) -> Hand {
-    let mut hand = Hand::new(site, 0);
-    hand.event(Event::Engines(ListKind::Remembered, list));
-    hand
+fn harness(site: Site, list: Vec<EngineEntry>) -> Harness {
+    let mut harness = Harness::new(site, 0);
+    harness.event(Event::EngineList(ListKind::Cached, list));
+    harness
 }
 
-/// Sends so many in a row, each ended well at once, and gives where they went; what is rejected goes nowhere.
-fn went(hand: &mut Hand, workload: usize, many: usize, outcome: impl Fn(&Id) -> Outcome) -> Vec<Option<Id>> {
-    let mut went = Vec::new();
+/// Submits statements one after the other, each execution ending at once with `outcome`; returns the engine that completed each.
+fn completed_by(
+    harness: &mut Harness,
+    workload: usize,
+    many: usize,
+    outcome: impl Fn(&Id) -> Outcome,
+) -> Vec<Option<Id>> {
+    let mut completed_by = Vec::new();
     for number in 0..many {
-        let (id, mut at) = hand.sent(workload);
+        let (id, mut at) = harness.submit(workload);
         let mut last = None;
         for execution in 0..4 {
             let Some(engine) = at.take() else { break };
             let outcome = outcome(&engine);
             let mut end = ended(&id, execution, &engine, outcome);
             end.elapsed = ms(5);
-            let next = hand.event(Event::Ended(end));
+            let next = harness.event(Event::ExecutionEnded(end));
             last = (outcome == Outcome::Completed).then(|| engine.clone());
             at = engine_of(&next);
         }
-        went.push(last);
+        completed_by.push(last);
         if number % 20 == 0 {
-            hand.beat(50);
+            harness.advance(50);
         }
     }
-    went
+    completed_by
 }
 
-fn distinct(went: &[Option<Id>]) -> BTreeSet<Id> {
-    went.iter().flatten().cloned().collect()
+fn distinct(completed_by: &[Option<Id>]) -> BTreeSet<Id> {
+    completed_by.iter().flatten().cloned().collect()
 }
 
-/// Guards against a statement's cost that grows with the fleet: the walk and what is counted for it stay within a subset.
+/// Guards against a cost of selection that grows with the fleet: the engines examined stay within a subset.
 #[test]
-fn engines_looked_at_do_not_grow_with_the_fleet() {
-    let looked = |gateways: u32, engines: usize| {
-        let mut hand = hand(fleet(3, gateways), list(engines));
-        went(&mut hand, 0, 50, |_| Outcome::Completed);
-        let before = hand.chooser.looked();
-        went(&mut hand, 0, 200, |_| Outcome::Completed);
-        (hand.chooser.looked() - before) as f64 / 200.0
+fn engines_examined_do_not_grow_with_the_fleet() {
+    let examined = |gateways: u32, engines: usize| {
+        let mut harness = harness(fleet(3, gateways), list(engines));
+        completed_by(&mut harness, 0, 50, |_| Outcome::Completed);
+        let before = harness.scheduler.engines_examined();
+        completed_by(&mut harness, 0, 200, |_| Outcome::Completed);
+        (harness.scheduler.engines_examined() - before) as f64 / 200.0
     };
     for gateways in [300, 1900] {
-        let (few, many) = (looked(gateways, 330), looked(gateways, 3300));
+        let (few, many) = (examined(gateways, 330), examined(gateways, 3300));
         assert!(many < 1.5 * few && many < 200.0, "{gateways} gateways: {few} of 330, {many} of 3,300");
     }
 }
 
-/// And at rest nothing of it is walked but the subset.
+/// Nor does the periodic work of an idle gateway grow with the fleet.
 #[test]
-fn a_beat_looks_at_a_subset_at_the_most() {
-    let mut hand = hand(fleet(3, 1900), list(3300));
-    hand.beat(50);
-    let before = hand.chooser.looked();
-    hand.beat(1000);
-    assert!(hand.chooser.looked() - before <= 20 * 200, "{}", hand.chooser.looked() - before);
-    // Where a subset is all, no look is owed to it.
-    let mut small = Hand::new(fleet(3, 300), 36);
-    small.beat(50);
-    let before = small.chooser.looked();
-    small.beat(1000);
-    assert_eq!(small.chooser.looked(), before);
+fn a_tick_examines_at_most_a_subset() {
+    let mut harness = harness(fleet(3, 1900), list(3300));
+    harness.advance(50);
+    let before = harness.scheduler.engines_examined();
+    harness.advance(1000);
+    assert!(
+        harness.scheduler.engines_examined() - before <= 20 * 200,
+        "{}",
+        harness.scheduler.engines_examined() - before
+    );
+    // Where the subset is the whole list, a tick examines nothing.
+    let mut small = Harness::new(fleet(3, 300), 36);
+    small.advance(50);
+    let before = small.scheduler.engines_examined();
+    small.advance(1000);
+    assert_eq!(small.scheduler.engines_examined(), before);
 }
 
-/// Up to so many engines, and whatever the number of gateways, the walk is the plain one over all.
+/// A short list is not divided, whatever the number of gateways: selection is round robin over all engines.
 #[test]
-fn where_a_subset_is_all_nothing_changes() {
+fn a_short_list_is_used_by_all_gateways() {
     for gateways in [1, 30, 300, 1900] {
-        let mut hand = hand(fleet(17, gateways), list(127));
-        let went = went(&mut hand, 0, 127, |_| Outcome::Completed);
+        let mut harness = harness(fleet(17, gateways), list(127));
+        let completed_by = completed_by(&mut harness, 0, 127, |_| Outcome::Completed);
         let mut ids: Vec<Id> = list(127).into_iter().map(|e| e.id).collect();
         ids.sort();
         ids.rotate_left(18);
-        assert_eq!(went.into_iter().flatten().collect::<Vec<_>>(), ids, "{gateways}");
+        assert_eq!(completed_by.into_iter().flatten().collect::<Vec<_>>(), ids, "{gateways}");
     }
 }
 
-/// Round robin over the subset: each as often as any other.
+/// Each engine of the subset gets the same number of statements.
 #[test]
-fn the_walk_over_a_subset_is_round_robin() {
-    let mut hand = hand(fleet(11, 1900), list(3300));
-    let first = distinct(&went(&mut hand, 0, 300, |_| Outcome::Completed));
+fn selection_within_a_subset_is_round_robin() {
+    let mut harness = harness(fleet(11, 1900), list(3300));
+    let first = distinct(&completed_by(&mut harness, 0, 300, |_| Outcome::Completed));
     assert!((60..200).contains(&first.len()), "{}", first.len());
-    let went = went(&mut hand, 0, 3 * first.len(), |_| Outcome::Completed);
+    let completed_by = completed_by(&mut harness, 0, 3 * first.len(), |_| Outcome::Completed);
     for id in &first {
-        assert_eq!(went.iter().flatten().filter(|at| *at == id).count(), 3, "{id}");
+        assert_eq!(completed_by.iter().flatten().filter(|at| *at == id).count(), 3, "{id}");
     }
 }
 
-/// Different gateways have different ones: what one of them loses is not what its neighbours lose.
+/// Different gateways have different subsets, so that a loss of engines does not hit neighbouring gateways alike.
 #[test]
-fn neighbours_differ() {
+fn subsets_of_neighbouring_gateways_differ() {
     let of = |gateway| {
-        distinct(&went(&mut hand(fleet(gateway, 1900), list(3300)), 0, 300, |_| Outcome::Completed))
+        distinct(&completed_by(&mut harness(fleet(gateway, 1900), list(3300)), 0, 300, |_| {
+            Outcome::Completed
+        }))
     };
     let (one, next, far) = (of(11), of(12), of(11 + 64));
     for other in [&next, &far] {
@@ -123,28 +134,33 @@
     }
 }
 
-/// A workload that only a few engines may run reaches them from every gateway, also once all but one of these are lost.
+/// A workload that only a few engines may run can use them from every gateway, also once all but one of them are lost.
 #[test]
-fn a_kind_that_few_engines_have_is_never_out_of_reach() {
+fn a_rare_kind_of_engine_is_in_every_subset() {
     for gateway in [0, 5, 700, 1899] {
         let mut site = fleet(gateway, 1900);
         site.workloads[1].kinds = Some(vec!["rare".into()]);
         let mut entries = list(3300);
         entries.iter_mut().step_by(700).for_each(|entry| entry.kind = "rare".into());
         let rare: BTreeSet<Id> = entries.iter().step_by(700).map(|e| e.id.clone()).collect();
-        let mut hand = hand(site, entries);
-        assert_eq!(distinct(&went(&mut hand, 1, 50, |_| Outcome::Completed)), rare);
+        let mut harness = harness(site, entries);
+        assert_eq!(distinct(&completed_by(&mut harness, 1, 50, |_| Outcome::Completed)), rare);
         let last = rare.iter().next().unwrap().clone();
-        let left =
-            went(&mut hand, 1, 400, |id| if *id == last { Outcome::Completed } else { Outcome::Refused });
-        let well = left[200..].iter().filter(|at| at.as_ref() == Some(&last)).count();
-        assert!(well > 190, "gateway {gateway}: {well} of 200 were served by the last one");
+        let after_loss = completed_by(&mut harness, 1, 400, |id| {
+            if *id == last {
+                Outcome::Completed
+            } else {
+                Outcome::Refused
+            }
+        });
+        let by_last = after_loss[200..].iter().filter(|at| at.as_ref() == Some(&last)).count();
+        assert!(by_last > 190, "gateway {gateway}: {by_last} of 200 were completed by the last one");
     }
 }
 
-/// Of a zone that a workload is bound to, too; and all gateways have some of it.
+/// Likewise for a workload that is bound to one zone: each subset has several engines of it.
 #[test]
-fn a_zone_is_never_out_of_reach() {
+fn a_zone_is_in_every_subset() {
     for gateway in (0..1900).step_by(190) {
         let mut site = fleet(gateway, 1900);
         site.workloads[1].zones = Some(vec!["z18".into()]);
@@ -152,80 +168,81 @@
         for (n, entry) in entries.iter_mut().enumerate() {
             entry.zone = format!("z{}", n % 19).into();
         }
-        let mut hand = hand(site, entries);
-        let went = went(&mut hand, 1, 100, |_| Outcome::Completed);
-        assert!(went.iter().all(|at| at.is_some()));
-        assert!(distinct(&went).len() >= 8, "gateway {gateway}: {}", distinct(&went).len());
+        let mut harness = harness(site, entries);
+        let completed_by = completed_by(&mut harness, 1, 100, |_| Outcome::Completed);
+        assert!(completed_by.iter().all(|at| at.is_some()));
+        assert!(distinct(&completed_by).len() >= 8, "gateway {gateway}: {}", distinct(&completed_by).len());
     }
 }
 
-/// Half of all engines refuse, or are silent to the list's end: the gateway reaches beyond its own at once, serves from what is left, and
-/// comes back to its own.
+/// Most engines of a subset refuse: the gateway expands its subset at once, uses other engines, and returns to the original subset
+/// after they recover.
 #[test]
-fn a_lost_half_is_made_up_for_and_given_back() {
-    let mut hand = hand(fleet(42, 1900), list(3300));
-    let own = distinct(&went(&mut hand, 0, 400, |_| Outcome::Completed));
-    // Those of its own that are lost are more than half, as chance has it for some gateway.
+fn a_subset_expands_after_a_loss_and_shrinks_after_recovery() {
+    let mut harness = harness(fleet(42, 1900), list(3300));
+    let own = distinct(&completed_by(&mut harness, 0, 400, |_| Outcome::Completed));
+    // More than half of this subset is lost, as can happen by chance where half of all engines are.
     let lost: BTreeSet<Id> = own.iter().take(own.len() * 7 / 10).cloned().collect();
     let bad = |id: &Id| if lost.contains(id) { Outcome::Refused } else { Outcome::Completed };
-    went(&mut hand, 0, 400, bad);
-    let after = went(&mut hand, 0, 400, bad);
+    completed_by(&mut harness, 0, 400, bad);
+    let after = completed_by(&mut harness, 0, 400, bad);
     assert!(after.iter().filter(|at| at.is_some()).count() > 395);
-    let reached = distinct(&after);
-    assert!(reached.len() > own.len() / 2 && !reached.is_subset(&own), "{} of {}", reached.len(), own.len());
-    // All are well again: pauses of up to 4 s end, and what it had borrowed is let go.
+    let used = distinct(&after);
+    assert!(used.len() > own.len() / 2 && !used.is_subset(&own), "{} of {}", used.len(), own.len());
+    // All engines are healthy again: ejection pauses of up to 4 s end, and the subset shrinks.
     for _ in 0..12 {
-        went(&mut hand, 0, 200, |_| Outcome::Completed);
-        hand.beat(2000);
+        completed_by(&mut harness, 0, 200, |_| Outcome::Completed);
+        harness.advance(2000);
     }
-    let back = distinct(&went(&mut hand, 0, 400, |_| Outcome::Completed));
+    let back = distinct(&completed_by(&mut harness, 0, 400, |_| Outcome::Completed));
     assert_eq!(back, own);
 }
 
-/// A list that loses engines and gains others moves what is theirs alone.
+/// A change to the list changes the subset by the engines concerned only.
 #[test]
-fn a_changed_list_moves_little() {
+fn a_changed_list_keeps_the_rest_of_the_subset() {
     let mut entries = list(3300);
-    let mut hand = hand(fleet(42, 1900), entries.clone());
-    let own = distinct(&went(&mut hand, 0, 400, |_| Outcome::Completed));
+    let mut harness = harness(fleet(42, 1900), entries.clone());
+    let own = distinct(&completed_by(&mut harness, 0, 400, |_| Outcome::Completed));
     let gone: BTreeSet<Id> = entries.drain(..33).map(|e| e.id).collect();
-    hand.event(Event::Engines(ListKind::All, entries));
-    let after = distinct(&went(&mut hand, 0, 400, |_| Outcome::Completed));
+    harness.event(Event::EngineList(ListKind::Snapshot, entries));
+    let after = distinct(&completed_by(&mut harness, 0, 400, |_| Outcome::Completed));
     assert!(after.is_disjoint(&gone));
     assert_eq!(after, own.difference(&gone).cloned().collect());
 }
 
-/// Words of an ill engine reach those who share it, and nobody else; a zone's loss is told by those alone too.
+/// A message about an unhealthy engine is sent only to gateways that have the engine in their subset.
 #[test]
-fn words_of_an_ill_engine_go_to_its_sharers() {
+fn messages_about_an_engine_go_to_gateways_that_share_it() {
     let mut site = fleet(42, 1900);
-    site.may_tell = true;
-    let mut hand = hand(site, list(3300));
-    let (id, engine) = hand.sent(0);
-    let actions = hand.end(&id, 0, engine.as_ref().unwrap(), Outcome::Refused);
-    let told: Vec<u32> = actions
+    site.can_gossip = true;
+    let mut harness = harness(site, list(3300));
+    let (id, engine) = harness.submit(0);
+    let actions = harness.end(&id, 0, engine.as_ref().unwrap(), Outcome::Refused);
+    let recipients: Vec<u32> = actions
         .iter()
         .filter_map(|action| match action {
-            Action::Tell { to, .. } => *to,
+            Action::Gossip { to, .. } => *to,
             _ => None,
         })
         .collect();
-    assert_eq!(told.len(), 8);
-    for to in told {
-        let mut other = self::hand(fleet(to, 1900), list(3300));
-        let has = distinct(&went(&mut other, 0, 400, |_| Outcome::Completed));
-        assert!(has.contains(engine.as_ref().unwrap()), "{to} was told of an engine that it doesn't go to");
+    assert_eq!(recipients.len(), 8);
+    for to in recipients {
+        let mut other = self::harness(fleet(to, 1900), list(3300));
+        let has = distinct(&completed_by(&mut other, 0, 400, |_| Outcome::Completed));
+        assert!(has.contains(engine.as_ref().unwrap()), "{to} was notified of an engine that it doesn't use");
     }
 }
 
-/// A cold engine beyond a gateway's own gets nothing from it, however far it reaches: what it stands is its sharers' alone.
+/// A cold engine outside of a gateway's own subset gets nothing from it, however far the subset expands: its limit is divided among
+/// the gateways that share it.
 #[test]
-fn a_cold_engine_beyond_ones_own_gets_nothing() {
+fn a_cold_engine_outside_of_the_own_subset_gets_nothing() {
     let mut site = fleet(42, 1900);
-    site.cold.warm_after = Duration::from_secs(600);
-    let mut hand = hand(site.clone(), list(3300));
-    let own = distinct(&went(&mut hand, 0, 400, |_| Outcome::Completed));
-    let now = hand.now;
+    site.slow_start.warm_after = Duration::from_secs(600);
+    let mut harness = harness(site.clone(), list(3300));
+    let own = distinct(&completed_by(&mut harness, 0, 400, |_| Outcome::Completed));
+    let now = harness.now;
     let cold = |n: usize| {
         let entry = EngineEntry { kind: "k4".into(), ..engine(n) };
         if own.contains(&entry.id) {
@@ -234,27 +251,27 @@
             EngineEntry { started: now, ..entry }
         }
     };
-    let mut hand = self::hand(site, (0..3300).map(cold).collect());
-    hand.now = now + Duration::from_secs(20);
-    let went = went(&mut hand, 0, 2000, |_| Outcome::Refused);
-    assert!(went.iter().all(|at| at.is_none()));
-    let (_, at) = hand.sent(0);
+    let mut harness = self::harness(site, (0..3300).map(cold).collect());
+    harness.now = now + Duration::from_secs(20);
+    let completed_by = completed_by(&mut harness, 0, 2000, |_| Outcome::Refused);
+    assert!(completed_by.iter().all(|at| at.is_none()));
+    let (_, at) = harness.submit(0);
     assert!(at.is_none_or(|at| own.contains(&at)));
 }
 
-/// A site that tells of no gateways, or of fewer than this one's number, is a fleet of odd members, not a fault.
+/// A configuration with no gateways, or with fewer than this gateway's index, must not make the scheduler panic.
 #[test]
-fn numbers_that_make_no_sense_decide_all_the_same() {
+fn inconsistent_gateway_numbers_do_not_panic() {
     for (gateway, gateways) in [(0, 0), (7, 0), (5000, 1900), (u32::MAX, 1900), (0, u32::MAX)] {
         for engines in [1, 36, 3300] {
             let mut site = fleet(gateway, gateways);
-            site.may_tell = true;
+            site.can_gossip = true;
             let entry = |n: usize| EngineEntry { started: ms(99_000), kind: "k4".into(), ..engine(n) };
-            let mut cold = hand(site.clone(), (0..engines).map(entry).collect());
-            went(&mut cold, 0, 50, |_| Outcome::Refused);
-            let mut warm = hand(site, list(engines));
-            went(&mut warm, 0, 50, |_| Outcome::TimedOut);
-            warm.beat(5000);
+            let mut cold = harness(site.clone(), (0..engines).map(entry).collect());
+            completed_by(&mut cold, 0, 50, |_| Outcome::Refused);
+            let mut warm = harness(site, list(engines));
+            completed_by(&mut warm, 0, 50, |_| Outcome::TimedOut);
+            warm.advance(5000);
         }
     }
 }
