--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -99,6 +99,77 @@
     assert!(operators(&text).fleet_terms(&known(&customers)).err().unwrap().contains("under 16 bytes"));
 }
 
+/// Gateways of different builds compare this digest, so the printed form of budgets must not change.
+#[test]
+fn the_digest_of_a_budget_table_stays_the_same_between_builds() {
+    let dir = tempfile::tempdir().unwrap();
+    let key = dir.path().join("key");
+    std::fs::write(&key, "a key of sixteen bytes").unwrap();
+    let text = format!(
+        r#"fleet {{
+  name     = "maps"
+  key_file = {key:?}
+  listen   = "127.0.0.1:0"
+  places   = 4
+  seats    = ["127.0.0.1:7200", "127.0.0.1:7201", "127.0.0.1:7202"]
+  lease    = "3s"
+  engines_by_members = true
+}}
+budget "a" {{
+  customer = "acme"
+  at_once  = "statements"
+  whole    = 40
+}}
+budget "b" {{
+  workload = "lookup"
+  at_once  = "weight"
+  whole    = 7.5
+  floor_percent = 30
+}}
+budget "c" {{
+  kind     = "std"
+  at_once  = "memory"
+  whole    = 64000
+}}
+budget "d" {{
+  further    = true
+  per_second = "statements"
+  whole      = 12
+  burst      = "2s"
+}}
+budget "e" {{
+  workload   = "scan"
+  customer   = "other"
+  kind       = "big"
+  per_second = "weight"
+  whole      = 3
+}}
+"#
+    );
+    let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
+    let known = Known {
+        workloads: &names(&["lookup", "scan"]),
+        customers: &names(&["other", "acme"]),
+        kinds: &names(&["std", "big"]),
+        names: Names::default(),
+        number: 2,
+        longest: Duration::from_secs(3),
+        seed: 1,
+    };
+    let terms = operators::read(&text, None).unwrap().fleet_terms(&known).unwrap().unwrap();
+    let measures: Vec<Measure> = terms.start.budgets.iter().map(|budget| budget.measure).collect();
+    let expected = [
+        Measure::StatementsAtOnce,
+        Measure::WeightAtOnce,
+        Measure::MemoryAtOnce,
+        Measure::StatementsPerSecond,
+        Measure::WeightPerSecond,
+        Measure::Engines,
+    ];
+    assert_eq!(measures, expected);
+    assert_eq!(terms.start.table, 8_085_830_019_973_740_442);
+}
+
 /// Killed also where a check fails.
 struct Served(Child);
 
