--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -85,7 +85,7 @@
     pending_replies: Vec<(u64, To, PolicyMessage)>,
     /// The fallback named by each unfinished write.
     pending_writes: Vec<(u64, Vec<Digest>)>,
-    /// Revisions of the last register write that was refused until they are cached: kept for its retry.
+    /// Revisions of the last register write that was refused until they are cached: retained for its retry.
     pending_revisions: Vec<Digest>,
     last_tick: Duration,
     disk_failed: u64,
--- a/crates/policy/tests/fleets.rs
+++ b/crates/policy/tests/fleets.rs
@@ -31,8 +31,8 @@
                 rules.alone.get_or_insert_default().insert(name.into(), Limits::default());
                 continue;
             }
-            let (name, most) = word.split_once('=').ok_or("no such key")?;
-            let executions = Some(most.parse().map_err(|_| "no number")?);
+            let (name, max_executions) = word.split_once('=').ok_or("no such key")?;
+            let executions = Some(max_executions.parse().map_err(|_| "no number")?);
             rules.workloads.insert(name.into(), Limits { executions, ..Limits::default() });
         }
         Ok(rules)
@@ -175,8 +175,10 @@
         gateway.node = Some(Node::start(start, self.now).unwrap());
     }
 
-    fn right(&self, at: usize) -> Option<Right> {
-        self.leader.filter(|(leader, right)| *leader == at && self.now < right.until).map(|(_, right)| right)
+    fn leadership(&self, at: usize) -> Option<Right> {
+        self.leader
+            .filter(|(leader, leadership)| *leader == at && self.now < leadership.until)
+            .map(|(_, leadership)| leadership)
     }
 
     /// Models the election: one leader at a time, for a lease that is renewed while possible; a new one only
@@ -191,14 +193,14 @@
         };
         let has_majority = (0..self.voters()).filter(|at| is_able(self, *at)).count() > self.voters() / 2;
         match self.leader {
-            Some((at, right)) if self.now < right.until => {
+            Some((at, leadership)) if self.now < leadership.until => {
                 if has_majority
                     && at < self.voters()
                     && is_able(self, at)
-                    && self.now + 600 * MS > right.until
+                    && self.now + 600 * MS > leadership.until
                 {
-                    let right = Right { until: self.now + 1000 * MS, ..right };
-                    self.leader = Some((at, right));
+                    let leadership = Right { until: self.now + 1000 * MS, ..leadership };
+                    self.leader = Some((at, leadership));
                 }
             }
             _ if has_majority => {
@@ -227,14 +229,15 @@
                     if succeeded {
                         gateway.file = Some(bytes);
                     }
-                    let more = gateway.node.as_mut().map(|node| node.write_finished(generation, succeeded));
-                    self.apply_effects(at, more.unwrap_or_default());
+                    let follow_up =
+                        gateway.node.as_mut().map(|node| node.write_finished(generation, succeeded));
+                    self.apply_effects(at, follow_up.unwrap_or_default());
                 }
                 Effect::Send { to, message } => {
                     let to = match to {
                         To::Seat(voter) => usize::from(voter),
                         To::Address(address) if address.port() >= OPERATOR => {
-                            self.operator(at, message);
+                            self.serve_chunk_to(at, message);
                             continue;
                         }
                         To::Address(address) => usize::from(address.port()) - 1,
@@ -257,23 +260,23 @@
             return;
         }
         // Voters send as voters, except for grant requests; others under their member id.
-        let as_seat = from < self.voters();
+        let is_voter = from < self.voters();
         let is_grant_request = matches!(message, PolicyMessage::GrantRequest(_));
-        let from_to = match as_seat && !is_grant_request {
+        let from_to = match is_voter && !is_grant_request {
             true => To::Seat(from as u8),
             false => To::Address(address(from)),
         };
         let copies = if self.now < self.loss.1 && self.rng.generate_range(0..4) == 0 { 2 } else { 1 };
         for _ in 0..copies {
-            let late = if self.now < self.loss.1 { 900 } else { 3 };
-            let at = self.now + self.rng.generate_range(0..late) * MS + MS;
+            let max_delay_ms = if self.now < self.loss.1 { 900 } else { 3 };
+            let at = self.now + self.rng.generate_range(0..max_delay_ms) * MS + MS;
             let member_id = is_grant_request.then_some(from as u32);
             self.gateways[to].inbox.push((at, from_to, member_id, message.clone()));
         }
     }
 
     /// The operator's tool serves the revisions it proposes.
-    fn operator(&mut self, of: usize, message: PolicyMessage) {
+    fn serve_chunk_to(&mut self, of: usize, message: PolicyMessage) {
         if let PolicyMessage::GetChunk { digest, offset } = message {
             let Some(text) = self.offers.iter().find(|offer| offer.digest() == digest) else { return };
             let bytes = text.write();
@@ -311,13 +314,14 @@
 
     /// What the leader reports as in force, if it is serving.
     fn in_force(&self) -> Option<(Phase, Digest)> {
-        let (at, _) = self.leader.filter(|(at, right)| self.now < right.until && *at < self.voters())?;
+        let (at, _) =
+            self.leader.filter(|(at, leadership)| self.now < leadership.until && *at < self.voters())?;
         let status = self.gateways[at].node.as_ref()?.status(self.now).coordinator?;
         Some((status.phase, status.current))
     }
 
     /// Why the last proposal was withdrawn, as the leader reports it.
-    fn last(&self) -> Option<String> {
+    fn withdrawal_reason(&self) -> Option<String> {
         let (at, _) = self.leader.filter(|(at, _)| *at < self.voters())?;
         self.gateways[at].node.as_ref()?.status(self.now).coordinator?.last_outcome?.1
     }
@@ -338,19 +342,19 @@
     }
 
     fn step(&mut self, at: usize) {
-        let (now, right) = (self.now, self.right(at));
+        let (now, leadership) = (self.now, self.leadership(at));
         let mut inbox = std::mem::take(&mut self.gateways[at].inbox);
         let later = inbox.iter().filter(|(due, ..)| *due > now).cloned().collect();
         inbox.retain(|(due, ..)| *due <= now);
         self.gateways[at].inbox = later;
         for (_, from, member_id, message) in inbox {
             let Some(node) = &mut self.gateways[at].node else { return };
-            let effects = node.handle_message(now, from, member_id, message, right);
+            let effects = node.handle_message(now, from, member_id, message, leadership);
             self.apply_effects(at, effects);
         }
         let Some(node) = &mut self.gateways[at].node else { return };
         if now >= node.due(now) {
-            let effects = node.tick(now, right);
+            let effects = node.tick(now, leadership);
             self.apply_effects(at, effects);
         }
     }
@@ -358,24 +362,25 @@
     /// P1: no gateway enforces one revision alone while another enforces a later one alone; a paused process
     /// counts once it resumes, with its mode at that time. P2: each number stands for one revision.
     fn check_invariants(&mut self) {
-        let mut by: BTreeMap<u64, usize> = BTreeMap::new();
+        let mut enforced_alone: BTreeMap<u64, usize> = BTreeMap::new();
         for (at, gateway) in self.gateways.iter().enumerate() {
             let Some(node) = gateway.node.as_ref().filter(|_| gateway.paused_until <= self.now) else {
                 continue;
             };
             if let Mode::Single(_) = node.permit(self.now).mode(self.now) {
                 let (number, digest) = node.status(self.now).enforced.unwrap();
-                by.entry(number).or_insert(at);
+                enforced_alone.entry(number).or_insert(at);
                 let known = *self.committed.entry(number).or_insert(digest);
                 if known != digest {
                     self.violation = Some(format!("P2: two revisions have number {number}, seen at {at}"));
                 }
             }
         }
-        if by.len() > 1 {
-            self.violation = Some(format!("P1: revisions {by:?} enforced alone at {:?}", self.now));
+        if enforced_alone.len() > 1 {
+            self.violation =
+                Some(format!("P1: revisions {enforced_alone:?} enforced alone at {:?}", self.now));
         }
-        let latest = by.keys().next_back().and_then(|number| self.committed.get(number)).copied();
+        let latest = enforced_alone.keys().next_back().and_then(|number| self.committed.get(number)).copied();
         let rules = latest.and_then(|digest| {
             self.gateways.iter().find_map(|gateway| gateway.node.as_ref()?.rules(&digest))
         });
@@ -395,6 +400,7 @@
         }
     }
 
+    /// Applies one fault of a plan.
     fn inject(&mut self, fault: Fault) {
         let until = |ms: u64| self.now + ms as u32 * MS;
         match fault {
@@ -434,8 +440,8 @@
                         .find(|(_, digest)| **digest == now)
                         .map_or(1, |(number, _)| *number);
                     let _ = phase;
-                    let text = revision(number + 1, now, texts[which % texts.len()]);
-                    self.propose(text, 2500);
+                    let proposal = revision(number + 1, now, texts[which % texts.len()]);
+                    self.propose(proposal, 2500);
                 }
             }
         }
@@ -450,20 +456,20 @@
     for _ in 0..24 {
         let at = rng.generate_range(500..18_000u64);
         let candidates = if rng.generate_range(0..2) == 0 { voters } else { gateways };
-        let who = rng.generate_range(0..candidates);
+        let target = rng.generate_range(0..candidates);
         let duration = rng.generate_range(100..4000u64);
         let fault = match rng.generate_range(0..16u32) {
             0 | 1 => {
-                plan.push((at + duration, Fault::Start(who)));
-                Fault::Kill(who)
+                plan.push((at + duration, Fault::Start(target)));
+                Fault::Kill(target)
             }
-            2 | 3 => Fault::Pause(who, duration),
-            4 => Fault::DropOutgoing(who, duration),
-            5 => Fault::DropIncoming(who, duration),
+            2 | 3 => Fault::Pause(target, duration),
+            4 => Fault::DropOutgoing(target, duration),
+            5 => Fault::DropIncoming(target, duration),
             6 => Fault::Lossy(rng.generate_range(10..60), duration),
             7 | 8 => Fault::LeaderChange,
             9 => Fault::FileLost(unreliable_voter),
-            10 => Fault::DiskFails(who, duration),
+            10 => Fault::DiskFails(target, duration),
             _ => Fault::Propose(rng.generate_range(0..100)),
         };
         plan.push((at, fault));
@@ -472,6 +478,7 @@
     plan
 }
 
+/// Runs a random plan of faults, then checks that the fleet converges.
 fn run_plan(seed: u64, gateways: usize, voters: u8, injected_bug: Option<InjectedBug>) -> World {
     let mut world = World::new(gateways, voters, injected_bug, seed);
     let began = world.now;
@@ -487,24 +494,24 @@
     (0..gateways).for_each(|at| world.start(at));
     world.run(9000 * MS);
     if world.violation.is_none() {
-        let force = world.in_force();
+        let in_force = world.in_force();
         // The older build may have been down while a key it doesn't know came into force: it keeps its
         // fallback.
-        let is_unreadable = force.and_then(|(_, now)| {
+        let is_unreadable = in_force.and_then(|(_, now)| {
             world.gateways[0].node.as_ref()?.revision(&now).map(|revision| revision.text.contains('q'))
         });
         let converging = world.gateways.len() - usize::from(is_unreadable == Some(true));
-        let all = world.gateways[..converging].iter().all(|gateway| {
+        let converged = world.gateways[..converging].iter().all(|gateway| {
             let status = gateway.node.as_ref().unwrap().status(world.now);
-            Some(status.enforced.unwrap().1) == force.map(|f| f.1) && status.mode == "by it"
+            Some(status.enforced.unwrap().1) == in_force.map(|f| f.1) && status.mode == "by it"
         });
-        if !all {
+        if !converged {
             let statuses: Vec<_> = world
                 .gateways
                 .iter()
                 .map(|gateway| gateway.node.as_ref().unwrap().status(world.now))
                 .collect();
-            world.violation = Some(format!("P2: not all on one revision: {force:?} {statuses:?}"));
+            world.violation = Some(format!("P2: not all on one revision: {in_force:?} {statuses:?}"));
         }
     }
     world
@@ -598,7 +605,13 @@
         parent = next.digest();
         world.propose(next, 2500);
         world.run(5000 * MS);
-        assert_eq!(world.in_force().unwrap().1, parent, "{:?} {:?}", world.violation, world.last());
+        assert_eq!(
+            world.in_force().unwrap().1,
+            parent,
+            "{:?} {:?}",
+            world.violation,
+            world.withdrawal_reason()
+        );
     }
     world.start(5);
     world.run(2000 * MS);
@@ -625,7 +638,7 @@
     }
     world.run(8000 * MS);
     assert_eq!(world.violation, None);
-    assert_eq!(world.in_force().unwrap().1, world.offers[0].digest(), "{:?}", world.last());
+    assert_eq!(world.in_force().unwrap().1, world.offers[0].digest(), "{:?}", world.withdrawal_reason());
 }
 
 #[test]
@@ -737,7 +750,11 @@
     world.propose(next.clone(), 2500);
     world.run(4000 * MS);
     if injected_bug.is_none() {
-        assert!(world.last().unwrap().contains("place 4: no such key: q"), "{:?}", world.last());
+        assert!(
+            world.withdrawal_reason().unwrap().contains("place 4: no such key: q"),
+            "{:?}",
+            world.withdrawal_reason()
+        );
     }
     world.in_force().unwrap().1 == next.digest()
 }
