--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,19 +1,25 @@
-//! What gateways of one fleet agree on, without I/O or a clock: `(state, input, now) -> effects`.
+//! Coordination among the gateways of a fleet, without I/O or a clock: `(state, input, now) -> effects`.
 //!
-//! `seat`: the few that agree on who keeps the leave, by leases of a majority, with nothing on disk. `keeper`: who has leave of
-//! which budget, how much and until when; who is a member. `holder`: how a gateway asks for its leave. `outstanding`: what a gateway has out
-//! at engines, for the process after it, and `predecessor`: what a process knows of the one before. `node` puts them together, `wire` writes and reads what they say to one another. Why it is so: `docs/design/fleet.md`.
+//! - `voter`: elects the leader by majority leases, with nothing on disk.
+//! - `leader`: tracks the members and grants each a part of every budget until a given time.
+//! - `grant_holder`: requests and renews a gateway's grant.
+//! - `outstanding`: the record of executions in flight, for the next process of the same member.
+//! - `predecessor`: what a process knows of the processes before it.
+//! - `node`: combines these parts in one gateway.
+//! - `wire`: encodes and decodes their messages.
+//!
+//! The design is explained in `docs/design/fleet.md`.
 
-pub mod holder;
-pub mod keeper;
+pub mod grant_holder;
+pub mod leader;
 pub mod node;
 pub mod outstanding;
 pub mod predecessor;
-pub mod seat;
+pub mod voter;
 pub mod wire;
 
-pub use holder::{Holder, Leave};
-pub use keeper::{Keeper, Member, Standing};
+pub use grant_holder::{Grant, GrantHolder};
+pub use leader::{Leader, Member, MemberStatus};
 pub use node::{Effect, Node, Status};
 pub use wire::{Envelope, Key, Message};
 
@@ -21,86 +27,92 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What all gateways of a fleet must be told alike.
+/// Settings that must be the same at all gateways of a fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
-    /// Of the fleet's name: what another fleet says is passed over.
+pub struct FleetConfig {
+    /// Hash of the fleet's name; messages of other fleets are ignored.
     pub fleet: u64,
-    /// Places, each a right to a floor, numbered from 0; one process at a time has one.
-    pub places: u32,
-    /// Seats that agree, numbered from 0.
-    pub seats: u8,
-    /// How long leave lasts, and as long a keeper's own right to give it.
+    /// Member ids run from 0 to this bound. Each has a floor of every budget and belongs to one process at a
+    /// time.
+    pub max_members: u32,
+    /// Number of voters, numbered from 0.
+    pub voters: u8,
+    /// Duration of a grant, and of the leader's own lease.
     pub lease: Duration,
-    /// By how many percent a clock may run fast or slow.
+    /// Bound on clock drift: a clock may run this many percent fast or slow.
     pub drift_percent: u32,
-    /// The longest that an execution may run after its leave has ended, and engines' time beyond it.
-    pub run_out: Duration,
-    /// How long an engine goes on with what nobody asks for any more.
-    pub engines_keep: Duration,
-    /// A known mistake, put in on purpose to see that the checkers find it. No settings lead here.
-    pub wrong: Option<Wrong>,
+    /// The longest an execution may run after its grant has expired, including `orphan_retention`.
+    pub max_execution_time: Duration,
+    /// How long an engine keeps running an execution that no gateway polls any more.
+    pub orphan_retention: Duration,
+    /// A bug injected to verify that the checkers detect it. No setting reaches this.
+    pub injected_bug: Option<InjectedBug>,
 }
 
+/// A protocol bug that tests inject to verify that the checkers detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// A part is given anew as soon as its holder is in doubt.
-    GivesAnewAtOnce,
-    /// A holder counts its leave from when the answer came.
-    CountsFromAnswer,
-    /// A seat votes for a second keeper while the first one's right lasts.
-    TwoKeepers,
-    /// A new keeper gives from an empty book at once.
-    NoWaitingOut,
-    /// What a killed gateway had is free when its place is back.
-    FreeAtTheKill,
-    /// A process takes what the one before it had out for over, though no engine has been heard and no record read.
-    SettledUnheard,
-    /// A seat that has just started votes at once.
-    VotesUnknowing,
-    /// An answer to an earlier question counts too.
-    AnyAnswerCounts,
-    /// Time that the keeper itself has slept through ends other gateways' leave.
-    SleepCounts,
+pub enum InjectedBug {
+    /// The leader reassigns a grant as soon as its holder is suspect.
+    ReassignsSuspectGrants,
+    /// A holder counts its grant from the reply instead of the request.
+    CountsGrantFromReply,
+    /// A voter accepts a second leader while the first one's lease is valid.
+    TwoLeaders,
+    /// A new leader grants at once, without waiting for earlier grants to expire.
+    NoRecoveryPeriod,
+    /// The grant of a killed process is free as soon as its member id is in use again.
+    FreesKilledProcessGrant,
+    /// A process assumes its predecessor's executions have ended without a record or an answer from the
+    /// engines.
+    AssumesPredecessorEnded,
+    /// A voter that has just started votes at once.
+    VotesAtStart,
+    /// A holder accepts the reply to an earlier request.
+    AcceptsStaleReplies,
+    /// Time during which the leader was suspended counts towards the expiry of others' grants.
+    CountsSuspendedTime,
 }
 
-impl Terms {
-    pub fn is_wrong(&self, wrong: Wrong) -> bool {
-        self.wrong == Some(wrong)
+impl FleetConfig {
+    /// Whether this bug is injected.
+    pub fn has_bug(&self, injected_bug: InjectedBug) -> bool {
+        self.injected_bug == Some(injected_bug)
     }
 
-    /// At least as long by any clock of the fleet as `span` is by any other, one jump that nobody saw included.
-    pub fn longer(&self, span: Duration) -> Duration {
+    /// A span that is at least `span` on every clock of the fleet, allowing for drift and one undetected
+    /// clock jump.
+    pub fn with_clock_drift(&self, span: Duration) -> Duration {
         let drift = self.drift_percent.min(50);
         span * (100 + drift) / (100 - drift) + UNSEEN
     }
 
-    /// How long a send that was decided in time may take to its engine.
-    pub fn on_its_way(&self) -> Duration {
+    /// How long a send decided under a valid grant may take to reach its engine.
+    pub fn max_send_delay(&self) -> Duration {
         self.lease / 4
     }
 
-    /// How long after the last word of a holder what it had may still be in use.
-    pub fn until_free(&self) -> Duration {
-        self.longer(self.lease + self.on_its_way() + self.run_out)
+    /// How long after a holder's last message its grant may still be in use.
+    pub fn reclaim_delay(&self) -> Duration {
+        self.with_clock_drift(self.lease + self.max_send_delay() + self.max_execution_time)
     }
 
-    /// How long an execution that was sent and not heard of may yet begin at its engine and run there. An engine may read a call
-    /// late: what is not known to be over counts for as long as what a gateway had that fell silent.
-    pub fn unheard(&self) -> Duration {
-        self.until_free()
+    /// How long an execution without any confirmation from its engine may still start and run there. An
+    /// engine may read a call late, so this is as long as for the grant of a gateway that stopped answering.
+    pub fn max_unconfirmed_time(&self) -> Duration {
+        self.reclaim_delay()
     }
 
-    /// How long what a killed process had running may go on.
-    pub fn ghost(&self) -> Duration {
-        self.longer(self.engines_keep)
+    /// How long executions of a killed process may keep running.
+    pub fn max_orphan_time(&self) -> Duration {
+        self.with_clock_drift(self.orphan_retention)
     }
 
+    /// Number of voters that form a quorum.
     pub fn majority(&self) -> usize {
-        usize::from(self.seats) / 2 + 1
+        usize::from(self.voters) / 2 + 1
     }
 }
 
-/// A process: new with every start.
+/// Identifies one run of a gateway process; new with every start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,514 +1,544 @@
-//! One gateway's part in its fleet: a holder always, a seat where it has one, the keeper while its seat has the right to be it.
+//! A gateway as a member of its fleet: always a grant holder, a voter if configured, and the leader while it
+//! has the lease.
 
-use crate::holder::{self, Holder};
-use crate::keeper::{self, Keeper, Member};
+use crate::grant_holder::{self, GrantHolder};
+use crate::leader::{self, Leader, Member};
 use crate::outstanding::Outstanding;
 use crate::predecessor::{Predecessor, Succession};
-use crate::seat::{Right, Say, Seat};
+use crate::voter::{LeaderLease, Outbound, Voter};
 use crate::wire::{Envelope, Message, Party};
-use crate::{Incarnation, Terms, Wrong};
+use crate::{FleetConfig, Incarnation, InjectedBug};
 use bramblewharf_budgets::usage::{Figures, Lingering, Took};
 use bramblewharf_budgets::{Budget, Claim, Room, Usage};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often it must be called at the least: patient clocks stand still beyond this.
-const EVERY: Duration = Duration::from_millis(100);
+/// Longest interval between calls: drift-bounded clocks don't count more of a longer one.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What may be left at its engine of an execution that has ended here.
+/// What may remain at its engine of an execution that has ended here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Remains {
     Nothing,
-    /// It had reached the engine, where it ends as nobody asks for it.
-    UntilForgotten,
-    /// Nothing shows that it has ended, nor even that it has been read: it may yet begin.
-    Unheard,
+    /// It has reached the engine, which ends it since nobody polls it.
+    Orphaned,
+    /// Nothing confirms that it has ended or even been read: it may still start.
+    Unconfirmed,
 }
 
+/// The recipient of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
-    Seat(u8),
-    /// Whoever is there: an answer goes where the question came from.
+pub enum Recipient {
+    Voter(u8),
+    /// The address that a request came from.
     Address(SocketAddr),
 }
 
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Say {
-        to: To,
+    Send {
+        to: Recipient,
         envelope: Envelope,
     },
-    /// What is left of the parts has changed: see `room`.
-    Room,
+    /// The free capacity of the budgets has changed: see `headroom`.
+    HeadroomChanged,
 }
 
-/// All that a gateway is told of its place in the fleet.
+/// Configuration of a gateway as a member of its fleet.
 #[derive(Clone, Debug)]
 pub struct Start {
-    pub place: u32,
-    pub seat: Option<u8>,
+    pub member_id: u32,
+    pub voter: Option<u8>,
     pub incarnation: Incarnation,
-    pub terms: Terms,
+    pub config: FleetConfig,
     pub budgets: Vec<Budget>,
-    /// Of the table of budgets as it is written.
-    pub table: u64,
+    /// Digest of the table of budgets as it is written.
+    pub table_digest: u64,
     pub seed: u64,
 }
 
-/// For whoever looks on.
+/// State of a gateway for monitoring.
 #[derive(Clone, Debug)]
 pub struct Status {
-    pub place: u32,
+    pub member_id: u32,
     pub incarnation: Incarnation,
-    /// The seat asked last, and whether its leave is in force.
-    pub asks: u8,
-    pub has_leave: bool,
+    /// The voter that the last request went to, and whether the grant is valid.
+    pub requests_to: u8,
+    pub has_grant: bool,
     pub members: Option<u32>,
-    pub holder: holder::Counts,
+    pub grant_holder: grant_holder::Counts,
     pub budgets: Vec<Figures>,
-    pub seat: Option<SeatStatus>,
-    pub keeper: Option<KeeperStatus>,
-    pub passed_over: u64,
+    pub voter: Option<VoterStatus>,
+    pub leader: Option<LeaderStatus>,
+    pub ignored: u64,
 }
 
+/// State of the voter for monitoring.
 #[derive(Clone, Debug)]
-pub struct SeatStatus {
-    pub seat: u8,
-    pub votes: bool,
-    /// The keeper that it has agreed to.
-    pub keeper: Option<u8>,
-    pub bids: u64,
+pub struct VoterStatus {
+    pub voter: u8,
+    pub can_vote: bool,
+    /// The leader that it has accepted.
+    pub leader: Option<u8>,
+    pub proposals: u64,
 }
 
+/// State of the leader for monitoring.
 #[derive(Clone, Debug)]
-pub struct KeeperStatus {
-    pub waits_out: bool,
+pub struct LeaderStatus {
+    pub is_recovering: bool,
     pub members: Vec<Member>,
-    /// By budget: given to members, and perhaps in use yet of processes that are no more.
+    /// By budget: granted to members, and possibly still in use by earlier processes.
     pub totals: Vec<(u64, u64)>,
-    pub counts: keeper::Counts,
+    pub counts: leader::Counts,
 }
 
+/// A gateway as a member of its fleet.
 pub struct Node {
     start: Start,
     usage: Usage,
-    holder: Holder,
-    seat: Option<Seat>,
-    keeper: Option<Keeper>,
+    grant_holder: GrantHolder,
+    voter: Option<Voter>,
+    leader: Option<Leader>,
     succession: Succession,
-    said: u64,
-    keepers: u64,
-    /// Messages that say nothing to us.
-    passed_over: u64,
-    leaving: bool,
-    ticked: Duration,
+    sent: u64,
+    leaderships: u64,
+    /// Messages that were ignored.
+    ignored: u64,
+    has_left: bool,
+    last_tick: Duration,
 }
 
 impl Node {
-    /// After a process whose engines have read all that it sent.
+    /// Starts after a process whose engines have read all that it sent.
     pub fn start(start: Start, now: Duration) -> Node {
         Node::start_after(start, Predecessor::Ended, now).0
     }
 
-    /// With what is known of the process before, and the names of what it had out, which counts as in use until settled.
+    /// Starts with what is known of the previous process. Returns the executions that it had in flight, each
+    /// with the handle under which it counts as in use until settled.
     pub fn start_after(
         start: Start,
         predecessor: Predecessor,
         now: Duration,
     ) -> (Node, Vec<(Outstanding, Lingering)>) {
-        let terms = start.terms.clone();
-        let mistaken = terms.is_wrong(Wrong::SettledUnheard) || terms.is_wrong(Wrong::FreeAtTheKill);
-        let predecessor = if mistaken { Predecessor::Ended } else { predecessor };
+        let config = start.config.clone();
+        let assumes_ended = config.has_bug(InjectedBug::AssumesPredecessorEnded)
+            || config.has_bug(InjectedBug::FreesKilledProcessGrant);
+        let predecessor = if assumes_ended { Predecessor::Ended } else { predecessor };
         let floor_after = match predecessor {
-            _ if terms.is_wrong(Wrong::FreeAtTheKill) => Duration::ZERO,
-            Predecessor::Ended => terms.ghost(),
-            Predecessor::Unknown | Predecessor::Recorded(_) => terms.unheard(),
+            _ if config.has_bug(InjectedBug::FreesKilledProcessGrant) => Duration::ZERO,
+            Predecessor::Ended => config.max_orphan_time(),
+            Predecessor::Unknown | Predecessor::Recorded(_) => config.max_unconfirmed_time(),
         };
-        let mut usage = Usage::new(start.budgets.clone(), terms.places, floor_after, now);
+        let mut usage = Usage::new(start.budgets.clone(), config.max_members, floor_after, now);
         let outstanding = match &predecessor {
             Predecessor::Recorded(record) => record.outstanding.clone(),
             Predecessor::Ended | Predecessor::Unknown => Vec::new(),
         };
         let mut inherit = |outstanding: Outstanding| {
-            let name = usage.inherit(now, outstanding.took.clone(), terms.unheard())?;
+            let name = usage.inherit(now, outstanding.demand.clone(), config.max_unconfirmed_time())?;
             Some((outstanding, name))
         };
         let inherited = outstanding.into_iter().filter_map(&mut inherit).collect();
-        let seat =
-            start.seat.map(|own| Seat::start(own, start.incarnation, terms.clone(), start.seed ^ 1, now));
-        let holder = Holder::start(terms, start.table, start.seed ^ 2, now);
+        let voter =
+            start.voter.map(|own| Voter::start(own, start.incarnation, config.clone(), start.seed ^ 1, now));
+        let grant_holder = GrantHolder::start(config, start.table_digest, start.seed ^ 2, now);
         let node = Node {
             start,
             usage,
-            holder,
-            seat,
-            keeper: None,
+            grant_holder,
+            voter,
+            leader: None,
             succession: Succession::start(predecessor),
-            said: 0,
-            keepers: 0,
-            passed_over: 0,
-            leaving: false,
-            ticked: now,
+            sent: 0,
+            leaderships: 0,
+            ignored: 0,
+            has_left: false,
+            last_tick: now,
         };
         (node, inherited)
     }
 
-    /// Every engine that a process before this one may have sent to has read what it sent, or is gone.
-    pub fn engines_heard(&mut self, now: Duration) {
-        self.usage.floors_after(now, self.start.terms.ghost());
+    /// Every engine that an earlier process may have sent to has read what it sent, or is gone.
+    pub fn engines_confirmed(&mut self, now: Duration) {
+        self.usage.floors_after(now, self.start.config.max_orphan_time());
     }
 
-    /// Whether all that may be out of this place is counted in use here.
-    pub fn counts_all(&self) -> bool {
+    /// Whether all executions that may be in flight under this member id are counted as in use here.
+    pub fn counts_everything(&self) -> bool {
         self.succession.is_complete()
     }
 
-    /// When it wants to be called again.
+    /// When `tick` has to be called next.
     pub fn due(&self, now: Duration) -> Duration {
-        if now < self.ticked {
+        if now < self.last_tick {
             return now;
         }
-        // From its last tick, not from now: however often it is asked, it must not be put off.
-        let own = self.holder.due().max(now + Duration::from_millis(1)).min(self.ticked + EVERY);
+        // Counted from the last tick, not from now, so that frequent calls of this don't postpone the next
+        // tick.
+        let own = self
+            .grant_holder
+            .due()
+            .max(now + Duration::from_millis(1))
+            .min(self.last_tick + MAX_TICK_INTERVAL);
         self.usage.due(now).map_or(own, |due| due.min(own))
     }
 
+    /// Advances time.
     pub fn tick(&mut self, now: Duration) -> Vec<Effect> {
-        self.ticked = now;
+        self.last_tick = now;
         let mut effects = Vec::new();
-        if let Some(seat) = &mut self.seat {
-            let say = seat.tick(now);
-            self.say_all(say, &mut effects);
+        if let Some(voter) = &mut self.voter {
+            let outbound = voter.tick(now);
+            self.send_all(outbound, &mut effects);
         }
-        self.keep(now);
+        self.update_leader(now);
         self.usage.look(now);
         if self.usage.has_floors() {
-            self.succession.completed();
+            self.succession.mark_complete();
         }
-        if self.holder.look(now) {
+        if self.grant_holder.observe_clock(now) {
             self.usage.drop_leave(now);
-            effects.push(Effect::Room);
+            effects.push(Effect::HeadroomChanged);
         }
         let usage = &mut self.usage;
-        if let Some((seat, number, message)) = self.holder.tick(now, || (usage.holds(now), usage.needs(now)))
+        if let Some((voter, number, message)) =
+            self.grant_holder.tick(now, || (usage.holds(now), usage.needs(now)))
         {
-            self.ask_seat(now, seat, number, message, &mut effects);
+            self.send_request(now, voter, number, message, &mut effects);
         }
         effects
     }
 
-    pub fn heard(&mut self, now: Duration, envelope: Envelope, from: SocketAddr) -> Vec<Effect> {
+    /// Handles a message received from `from`.
+    pub fn handle_message(&mut self, now: Duration, envelope: Envelope, from: SocketAddr) -> Vec<Effect> {
         let mut effects = Vec::new();
         match (envelope.from, envelope.message) {
             (
-                Party::Seat(seat),
+                Party::Voter(voter),
                 message @ (Message::Prepare(_)
                 | Message::Promise { .. }
                 | Message::Propose(_)
                 | Message::Accept(_)
-                | Message::Refuse { .. }
+                | Message::Reject { .. }
                 | Message::Release(_)),
             ) => match self
-                .seat
+                .voter
                 .as_mut()
-                .filter(|_| Some(seat) != self.start.seat && seat < self.start.terms.seats)
+                .filter(|_| Some(voter) != self.start.voter && voter < self.start.config.voters)
             {
                 Some(own) => {
-                    let say = own.heard(now, seat, message);
-                    self.say_all(say, &mut effects);
-                    self.keep(now);
+                    let outbound = own.handle_message(now, voter, message);
+                    self.send_all(outbound, &mut effects);
+                    self.update_leader(now);
                 }
-                None => self.passed_over += 1,
+                None => self.ignored += 1,
             },
             (
-                Party::Place(place),
-                message @ (Message::Ask(_) | Message::Leaving { .. } | Message::Succeeds { .. }),
+                Party::Member(member_id),
+                message @ (Message::GrantRequest(_) | Message::Leaving { .. } | Message::TakeOver { .. }),
             ) => {
-                let answer = self.asked(now, place, envelope.incarnation, envelope.number, message);
-                if let Some(message) = answer {
+                let reply =
+                    self.handle_request(now, member_id, envelope.incarnation, envelope.number, message);
+                if let Some(message) = reply {
                     let envelope = self.envelope(message);
-                    effects.push(Effect::Say { to: To::Address(from), envelope });
+                    effects.push(Effect::Send { to: Recipient::Address(from), envelope });
                 }
             }
-            (Party::Seat(seat), message) => self.answered(now, seat, message, &mut effects),
-            _ => self.passed_over += 1,
+            (Party::Voter(voter), message) => self.handle_reply(now, voter, message, &mut effects),
+            _ => self.ignored += 1,
         }
         effects
     }
 
-    /// The keeper is there as long as the right lasts, and by that right alone.
-    fn keep(&mut self, now: Duration) {
-        let right: Option<Right> = self.seat.as_ref().and_then(|seat| seat.right(now));
-        if self.keeper.as_mut().is_some_and(|keeper| {
-            let same = right.is_some_and(|right| right.term == keeper.term());
-            !same || !keeper.tick(now)
+    /// Starts the leader with the leader lease, and drops it with that.
+    fn update_leader(&mut self, now: Duration) {
+        let leader_lease: Option<LeaderLease> = self.voter.as_ref().and_then(|voter| voter.leader_lease(now));
+        if self.leader.as_mut().is_some_and(|leader| {
+            let same_term = leader_lease.is_some_and(|leader_lease| leader_lease.term == leader.term());
+            !same_term || !leader.tick(now)
         }) {
-            self.keeper = None;
+            self.leader = None;
         }
-        if let Some(right) = right.filter(|_| self.keeper.is_none()) {
-            self.keepers += 1;
-            let Start { terms, budgets, table, seed, .. } = self.start.clone();
-            let seed = seed ^ (3 + self.keepers);
-            self.keeper = Some(Keeper::start(right.term, terms, budgets, table, seed, now));
+        if let Some(leader_lease) = leader_lease.filter(|_| self.leader.is_none()) {
+            self.leaderships += 1;
+            let Start { config, budgets, table_digest, seed, .. } = self.start.clone();
+            let seed = seed ^ (3 + self.leaderships);
+            self.leader = Some(Leader::start(leader_lease.term, config, budgets, table_digest, seed, now));
         }
     }
 
-    /// A gateway's question, answered by the right as it is now.
-    fn asked(
+    /// Handles a member's request under the current leader lease.
+    fn handle_request(
         &mut self,
         now: Duration,
-        place: u32,
+        member_id: u32,
         from: Incarnation,
         number: u64,
         message: Message,
     ) -> Option<Message> {
-        self.keep(now);
-        let Some(seat) = &self.seat else {
-            self.passed_over += 1;
+        self.update_leader(now);
+        let Some(voter) = &self.voter else {
+            self.ignored += 1;
             return None;
         };
-        match (&mut self.keeper, message) {
-            (Some(keeper), Message::Ask(ask)) => keeper.ask(place, from, number, ask),
-            (Some(keeper), Message::Succeeds { session, rest }) => {
-                keeper.succeeds(place, from, number, session, rest)
+        match (&mut self.leader, message) {
+            (Some(leader), Message::GrantRequest(request)) => {
+                leader.handle_request(member_id, from, number, request)
             }
-            (Some(keeper), Message::Leaving { session, holds }) => {
-                keeper.leaving(place, from, number, session, &holds);
+            (Some(leader), Message::TakeOver { session, remaining }) => {
+                leader.handle_take_over(member_id, from, number, session, remaining)
+            }
+            (Some(leader), Message::Leaving { session, holds }) => {
+                leader.handle_leaving(member_id, from, number, session, &holds);
                 None
             }
-            (None, Message::Ask(_)) => {
-                let keeper = seat.keeper().filter(|keeper| Some(*keeper) != self.start.seat);
-                Some(Message::Elsewhere { number, keeper })
+            (None, Message::GrantRequest(_)) => {
+                let leader = voter.known_leader().filter(|leader| Some(*leader) != self.start.voter);
+                Some(Message::NotLeader { number, leader })
             }
             _ => None,
         }
     }
 
-    fn answered(&mut self, now: Duration, seat: u8, message: Message, effects: &mut Vec<Effect>) {
-        if let Message::Former { number, of, former } = message {
-            return self.heard_of_former(now, number, of, &former, effects);
+    fn handle_reply(&mut self, now: Duration, voter: u8, message: Message, effects: &mut Vec<Effect>) {
+        if let Message::Predecessors { number, reply_to, predecessors } = message {
+            return self.handle_predecessors(now, number, reply_to, &predecessors, effects);
         }
-        if self.holder.heard(now, seat, message) {
-            if let Some(leave) = self.holder.leave(now) {
-                let (amounts, until) = (leave.amounts.clone(), leave.until);
+        if self.grant_holder.handle_reply(now, voter, message) {
+            if let Some(grant) = self.grant_holder.grant(now) {
+                let (amounts, until) = (grant.amounts.clone(), grant.until);
                 self.usage.lease(now, &amounts, until);
-                effects.push(Effect::Room);
-                self.tell_succession(now, seat, effects);
+                effects.push(Effect::HeadroomChanged);
+                self.report_succession(now, voter, effects);
             }
         }
     }
 
-    /// Whoever keeps this gateway's leave hears what is left of processes before it, until that is nothing.
-    fn tell_succession(&mut self, now: Duration, seat: u8, effects: &mut Vec<Effect>) {
-        if !self.succession.has_news() {
+    /// Reports to the leader what earlier processes still have in use, until that is nothing.
+    fn report_succession(&mut self, now: Duration, voter: u8, effects: &mut Vec<Effect>) {
+        if !self.succession.has_report() {
             return;
         }
-        let rest = self.succession.is_complete().then(|| self.usage.inherited_beyond_floors(now));
-        let number = self.succession.ask(rest.as_ref());
-        let session = self.holder.session();
-        self.ask_seat(now, seat, number, Message::Succeeds { session, rest }, effects);
+        let remaining = self.succession.is_complete().then(|| self.usage.inherited_beyond_floors(now));
+        let number = self.succession.next_request(remaining.as_ref());
+        let session = self.grant_holder.session();
+        self.send_request(now, voter, number, Message::TakeOver { session, remaining }, effects);
     }
 
-    fn heard_of_former(
+    fn handle_predecessors(
         &mut self,
         now: Duration,
         number: u64,
-        of: Incarnation,
-        former: &[Incarnation],
+        reply_to: Incarnation,
+        predecessors: &[Incarnation],
         effects: &mut Vec<Effect>,
     ) {
-        if of != self.start.incarnation || !self.succession.is_last(number) {
-            self.passed_over += 1;
+        if reply_to != self.start.incarnation || !self.succession.is_latest(number) {
+            self.ignored += 1;
             return;
         }
-        self.succession.answered();
-        if self.succession.heard(former) {
-            // What is out is counted: the rest of the floors is ours.
+        self.succession.acknowledge();
+        if self.succession.check_predecessors(predecessors) {
+            // Everything in flight is counted, so the rest of the floors may be used.
             self.usage.floors_after(now, Duration::ZERO);
-            effects.push(Effect::Room);
-            let seat = self.holder.seat();
-            self.tell_succession(now, seat, effects);
+            effects.push(Effect::HeadroomChanged);
+            let voter = self.grant_holder.voter();
+            self.report_succession(now, voter, effects);
         }
     }
 
-    fn ask_seat(
+    fn send_request(
         &mut self,
         now: Duration,
-        seat: u8,
+        voter: u8,
         number: u64,
         message: Message,
         effects: &mut Vec<Effect>,
     ) {
-        if Some(seat) != self.start.seat {
-            let from = Party::Place(self.start.place);
-            let Start { incarnation, terms, .. } = &self.start;
-            let envelope = Envelope { fleet: terms.fleet, from, incarnation: *incarnation, number, message };
-            return effects.push(Effect::Say { to: To::Seat(seat), envelope });
+        if Some(voter) != self.start.voter {
+            let from = Party::Member(self.start.member_id);
+            let Start { incarnation, config, .. } = &self.start;
+            let envelope = Envelope { fleet: config.fleet, from, incarnation: *incarnation, number, message };
+            return effects.push(Effect::Send { to: Recipient::Voter(voter), envelope });
         }
-        // The own seat is asked as any other is, without the way.
-        let (place, incarnation) = (self.start.place, self.start.incarnation);
-        if let Some(answer) = self.asked(now, place, incarnation, number, message) {
-            self.answered(now, seat, answer, effects);
+        // The own voter is called directly.
+        let (member_id, incarnation) = (self.start.member_id, self.start.incarnation);
+        if let Some(reply) = self.handle_request(now, member_id, incarnation, number, message) {
+            self.handle_reply(now, voter, reply, effects);
         }
     }
 
     fn envelope(&mut self, message: Message) -> Envelope {
-        self.said += 1;
-        let from = match self.start.seat {
-            Some(seat) => Party::Seat(seat),
-            None => Party::Place(self.start.place),
+        self.sent += 1;
+        let from = match self.start.voter {
+            Some(voter) => Party::Voter(voter),
+            None => Party::Member(self.start.member_id),
         };
-        let Start { incarnation, terms, .. } = &self.start;
-        Envelope { fleet: terms.fleet, from, incarnation: *incarnation, number: self.said, message }
+        let Start { incarnation, config, .. } = &self.start;
+        Envelope { fleet: config.fleet, from, incarnation: *incarnation, number: self.sent, message }
     }
 
-    fn say_all(&mut self, say: Vec<Say>, effects: &mut Vec<Effect>) {
-        for Say { to, message } in say {
-            let all = 0..self.start.terms.seats;
-            let to: Vec<u8> = all.filter(|seat| to.is_none_or(|to| to == *seat)).collect();
-            for seat in to {
-                if Some(seat) == self.start.seat {
+    fn send_all(&mut self, outbound: Vec<Outbound>, effects: &mut Vec<Effect>) {
+        for Outbound { to, message } in outbound {
+            let all = 0..self.start.config.voters;
+            let to: Vec<u8> = all.filter(|voter| to.is_none_or(|to| to == *voter)).collect();
+            for voter in to {
+                if Some(voter) == self.start.voter {
                     continue;
                 }
                 let envelope = self.envelope(message.clone());
-                effects.push(Effect::Say { to: To::Seat(seat), envelope });
+                effects.push(Effect::Send { to: Recipient::Voter(voter), envelope });
             }
         }
     }
 
-    /// What is left of this gateway's parts.
-    pub fn room(&mut self, now: Duration) -> Room {
+    /// Free capacity of this gateway's parts of the budgets.
+    pub fn headroom(&mut self, now: Duration) -> Room {
         self.usage.room(now)
     }
 
-    /// When what is left changes by itself.
-    pub fn room_due(&self, now: Duration) -> Option<Duration> {
+    /// When the free capacity changes without an event.
+    pub fn headroom_due(&self, now: Duration) -> Option<Duration> {
         self.usage.due(now)
     }
 
-    pub fn took(&mut self, now: Duration, took: &Took) {
+    /// An execution starts with this demand.
+    pub fn execution_started(&mut self, now: Duration, took: &Took) {
         self.usage.took(now, took);
     }
 
-    /// What is decided now may be sent until then, whatever this process sleeps through: what it may have in use is counted
-    /// for longer than the leave lasts, by more than that.
-    pub fn sends_until(&self, now: Duration) -> Option<Duration> {
-        (!self.start.budgets.is_empty()).then(|| now + self.start.terms.on_its_way())
+    /// Latest time to send what is decided now, even if the process is suspended in between: others count
+    /// what it has in use for longer than that beyond the end of its grant.
+    pub fn send_deadline(&self, now: Duration) -> Option<Duration> {
+        (!self.start.budgets.is_empty()).then(|| now + self.start.config.max_send_delay())
     }
 
-    pub fn place(&self) -> u32 {
-        self.start.place
+    /// Its number in the fleet.
+    pub fn member_id(&self) -> u32 {
+        self.start.member_id
     }
 
+    /// This run of the process.
     pub fn incarnation(&self) -> Incarnation {
         self.start.incarnation
     }
 
-    /// An execution has ended here; what may remain of it is counted, and can be settled by the name that comes back.
-    pub fn ended(&mut self, now: Duration, took: Took, remains: Remains) -> Option<Lingering> {
-        let span = self.span(remains);
-        self.usage.ended(now, took, span)
+    /// An execution has ended here. What may remain of it stays counted and can be settled by the returned
+    /// handle.
+    pub fn execution_ended(&mut self, now: Duration, took: Took, remains: Remains) -> Option<Lingering> {
+        let retention = self.retention(remains);
+        self.usage.ended(now, took, retention)
     }
 
-    /// More is known of what remains of an execution: its name from now on, while it counts.
+    /// More is known of what remains of an execution. Returns its new handle while it stays counted.
     pub fn settle(&mut self, now: Duration, name: Lingering, remains: Remains) -> Option<Lingering> {
-        let span = self.span(remains);
-        self.usage.settle(now, name, span)
+        let retention = self.retention(remains);
+        self.usage.settle(now, name, retention)
     }
 
-    /// For how long what remains of an execution is counted.
-    fn span(&self, remains: Remains) -> Option<Duration> {
+    /// How long what remains of an execution stays counted.
+    fn retention(&self, remains: Remains) -> Option<Duration> {
         match remains {
             Remains::Nothing => None,
-            Remains::UntilForgotten => Some(self.start.terms.ghost()),
-            Remains::Unheard => Some(self.start.terms.unheard()),
+            Remains::Orphaned => Some(self.start.config.max_orphan_time()),
+            Remains::Unconfirmed => Some(self.start.config.max_unconfirmed_time()),
         }
     }
 
-    /// How long the engine of an execution that was not heard of is worth asking.
-    pub fn unheard(&self) -> Duration {
-        self.start.terms.unheard()
+    /// How long to keep asking the engine about an execution without confirmation.
+    pub fn max_unconfirmed_time(&self) -> Duration {
+        self.start.config.max_unconfirmed_time()
     }
 
-    /// Whether what remains of an execution is counted still, and of how many that is so.
+    /// Whether an execution that has ended here is still counted.
     pub fn lingers(&self, name: Lingering) -> bool {
         self.usage.lingers(name)
     }
 
+    /// How many executions that have ended here are still counted.
     pub fn lingering(&self) -> usize {
         self.usage.lingering()
     }
 
-    pub fn refused(&mut self, now: Duration, claim: &Claim) {
+    /// A statement was refused for want of a budget: requests a larger grant soon.
+    pub fn statement_refused(&mut self, now: Duration, claim: &Claim) {
         if self.usage.refused(now, claim) {
-            self.holder.hasten(now);
+            self.grant_holder.request_soon(now);
         }
     }
 
-    /// Leaves for good, with nothing more to come: what is not in use is free for others at once. Said again, it says the same.
+    /// Leaves the fleet for good, so that what is not in use is free for others at once. May be called
+    /// repeatedly.
     pub fn leave(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.usage.drop_leave(now);
         let holds = self.usage.holds(now);
-        if let Some((seat, number, message)) = self.holder.go(holds) {
-            self.ask_seat(now, seat, number, message, &mut effects);
+        if let Some((voter, number, message)) = self.grant_holder.depart(holds) {
+            self.send_request(now, voter, number, message, &mut effects);
         }
-        if !std::mem::replace(&mut self.leaving, true) {
-            let say = self.seat.as_mut().map(Seat::leave).unwrap_or_default();
-            self.keeper = None;
-            self.say_all(say, &mut effects);
+        if !std::mem::replace(&mut self.has_left, true) {
+            let outbound = self.voter.as_mut().map(Voter::resign).unwrap_or_default();
+            self.leader = None;
+            self.send_all(outbound, &mut effects);
         }
         effects
     }
 
-    /// Floors, leave and use, as they are now.
+    /// Floors, grants and use by budget.
     pub fn figures(&mut self, now: Duration) -> Vec<Figures> {
         self.usage.figures(now)
     }
 
-    /// The right to keep, while this gateway has it.
-    pub fn right(&self, now: Duration) -> Option<Right> {
-        self.seat.as_ref().and_then(|seat| seat.right(now))
+    /// The leader lease, while this gateway has it.
+    pub fn leader_lease(&self, now: Duration) -> Option<LeaderLease> {
+        self.voter.as_ref().and_then(|voter| voter.leader_lease(now))
     }
 
-    /// What another part of this gateway says to the fleet, as its seat where it has one and speaks as that.
-    pub fn wrap(&mut self, message: Message, as_place: bool) -> Envelope {
-        let place = Party::Place(self.start.place);
+    /// Wraps a message of another component, sent as the voter if this gateway is one, or as the member on
+    /// request.
+    pub fn wrap_message(&mut self, message: Message, as_member: bool) -> Envelope {
+        let member_id = Party::Member(self.start.member_id);
         let envelope = self.envelope(message);
-        Envelope { from: if as_place { place } else { envelope.from }, ..envelope }
+        Envelope { from: if as_member { member_id } else { envelope.from }, ..envelope }
     }
 
-    /// Whether this gateway keeps the leave now.
-    pub fn keeps(&self, now: Duration) -> bool {
-        self.keeper.is_some() && self.seat.as_ref().is_some_and(|seat| seat.right(now).is_some())
+    /// Whether this gateway is the leader now.
+    pub fn is_leader(&self, now: Duration) -> bool {
+        self.leader.is_some() && self.voter.as_ref().is_some_and(|voter| voter.leader_lease(now).is_some())
     }
 
+    /// State for monitoring.
     pub fn status(&mut self, now: Duration) -> Status {
-        let seat = self.seat.as_ref().zip(self.start.seat);
-        let leave = self.holder.leave(now);
+        let voter = self.voter.as_ref().zip(self.start.voter);
+        let grant = self.grant_holder.grant(now);
         Status {
-            place: self.start.place,
+            member_id: self.start.member_id,
             incarnation: self.start.incarnation,
-            asks: self.holder.seat(),
-            has_leave: leave.is_some(),
-            members: leave.map(|leave| leave.members),
-            holder: self.holder.counts,
-            seat: seat.map(|(seat, own)| SeatStatus {
-                seat: own,
-                votes: seat.votes(),
-                keeper: if seat.right(now).is_some() { Some(own) } else { seat.keeper() },
-                bids: seat.bids,
+            requests_to: self.grant_holder.voter(),
+            has_grant: grant.is_some(),
+            members: grant.map(|grant| grant.members),
+            grant_holder: self.grant_holder.counts,
+            voter: voter.map(|(voter, own)| VoterStatus {
+                voter: own,
+                can_vote: voter.can_vote(),
+                leader: if voter.leader_lease(now).is_some() { Some(own) } else { voter.known_leader() },
+                proposals: voter.proposals,
             }),
-            keeper: self.keeper.as_ref().filter(|_| seat.is_some_and(|(s, _)| s.right(now).is_some())).map(
-                |keeper| KeeperStatus {
-                    waits_out: keeper.waits_out(),
-                    members: keeper.members(),
-                    totals: keeper.totals(),
-                    counts: keeper.counts,
-                },
-            ),
+            leader: self
+                .leader
+                .as_ref()
+                .filter(|_| voter.is_some_and(|(voter, _)| voter.leader_lease(now).is_some()))
+                .map(|leader| LeaderStatus {
+                    is_recovering: leader.is_recovering(),
+                    members: leader.members(),
+                    totals: leader.totals(),
+                    counts: leader.counts,
+                }),
             budgets: self.usage.figures(now),
-            passed_over: self.passed_over,
+            ignored: self.ignored,
         }
     }
 }
--- a/crates/fleet/src/outstanding/tests.rs
+++ b/crates/fleet/src/outstanding/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-const TABLE: u64 = 9;
-const BOOT: u64 = 4;
+const TABLE_DIGEST: u64 = 9;
+const BOOT_ID: u64 = 4;
 
 fn outstanding(number: usize) -> Outstanding {
     let engine = SocketAddr::from(([10, 0, 0, 7], 7000 + number as u16));
@@ -10,109 +10,113 @@
         id: format!("{number:016x}"),
         execution: number % 3,
         engine,
-        took: vec![(0, 1000), (14, u64::MAX)],
+        demand: vec![(0, 1000), (14, u64::MAX)],
     }
 }
 
-fn put(file: &mut [u8], writes: impl IntoIterator<Item = Write>) {
-    for Write { at, bytes } in writes {
-        file[at as usize..at as usize + bytes.len()].copy_from_slice(&bytes);
+fn apply(file: &mut [u8], writes: impl IntoIterator<Item = Write>) {
+    for Write { offset, bytes } in writes {
+        file[offset as usize..offset as usize + bytes.len()].copy_from_slice(&bytes);
     }
 }
 
-/// A file of a process that has so many out, and its slots.
-fn file(incarnation: u64, before: Option<&Record>, many: usize) -> (Vec<u8>, Slots) {
+/// The file of a process with that many executions in flight, and its slots.
+fn file(incarnation: u64, previous: Option<&Record>, count: usize) -> (Vec<u8>, Slots) {
     let mut bytes = vec![0; FILE_SIZE as usize];
-    let mut slots = Slots::start(Incarnation(incarnation), TABLE, BOOT, before);
-    put(&mut bytes, [slots.header()]);
-    (0..many).for_each(|number| put(&mut bytes, [slots.add(&outstanding(number))]));
+    let mut slots = Slots::start(Incarnation(incarnation), TABLE_DIGEST, BOOT_ID, previous);
+    apply(&mut bytes, [slots.header()]);
+    (0..count).for_each(|number| apply(&mut bytes, [slots.add(&outstanding(number))]));
     (bytes, slots)
 }
 
 fn read(bytes: &[u8]) -> Record {
-    Record::read(bytes, TABLE, BOOT).unwrap()
+    Record::decode(bytes, TABLE_DIGEST, BOOT_ID).unwrap()
 }
 
 #[test]
-fn what_is_out_at_the_kill_is_read_and_nothing_else() {
+fn reads_exactly_the_executions_in_flight_at_a_kill() {
     let (mut bytes, mut slots) = file(1, None, 5);
-    put(&mut bytes, slots.remove(&outstanding(1).id, 1));
-    put(&mut bytes, slots.remove(&outstanding(3).id, 0));
+    apply(&mut bytes, slots.remove(&outstanding(1).id, 1));
+    apply(&mut bytes, slots.remove(&outstanding(3).id, 0));
     assert_eq!(slots.remove("nobody", 0), None);
-    put(&mut bytes, [slots.add(&outstanding(7))]);
-    let mut left = read(&bytes).outstanding;
-    left.sort_by(|one, other| one.id.cmp(&other.id));
-    assert_eq!(left, [0, 2, 4, 7].map(outstanding));
+    apply(&mut bytes, [slots.add(&outstanding(7))]);
+    let mut remaining = read(&bytes).outstanding;
+    remaining.sort_by(|one, other| one.id.cmp(&other.id));
+    assert_eq!(remaining, [0, 2, 4, 7].map(outstanding));
 }
 
-/// Guards against a file that says too little: one that is cut, longer, spoilt or foreign says nothing at all.
+/// Guards against missing executions: a file that is truncated, too long, corrupted or foreign must be
+/// rejected as a whole.
 #[test]
-fn a_file_that_is_not_whole_is_unknown() {
+fn rejects_truncated_extended_and_foreign_files() {
     let (bytes, _) = file(1, None, 5);
-    let fault = |bytes: &[u8]| Record::read(bytes, TABLE, BOOT).unwrap_err();
-    assert_eq!(fault(&bytes[..bytes.len() - 1]), Fault::Size);
-    assert_eq!(fault(&[]), Fault::Size);
-    assert_eq!(fault(&[&bytes[..], &[0]].concat()), Fault::Size);
-    assert_eq!(fault(&vec![0; bytes.len()]), Fault::Header);
-    assert_eq!(Record::read(&bytes, TABLE + 1, BOOT), Err(Fault::Foreign));
-    assert_eq!(Record::read(&bytes, TABLE, BOOT + 1), Err(Fault::Foreign));
-    // A slot of an earlier process in a file of this one.
+    let error = |bytes: &[u8]| Record::decode(bytes, TABLE_DIGEST, BOOT_ID).unwrap_err();
+    assert_eq!(error(&bytes[..bytes.len() - 1]), RecordError::Size);
+    assert_eq!(error(&[]), RecordError::Size);
+    assert_eq!(error(&[&bytes[..], &[0]].concat()), RecordError::Size);
+    assert_eq!(error(&vec![0; bytes.len()]), RecordError::Header);
+    assert_eq!(Record::decode(&bytes, TABLE_DIGEST + 1, BOOT_ID), Err(RecordError::Foreign));
+    assert_eq!(Record::decode(&bytes, TABLE_DIGEST, BOOT_ID + 1), Err(RecordError::Foreign));
+    // A slot of an earlier process in the file of this one.
     let (mut mixed, _) = file(2, None, 0);
-    mixed[HEADER..HEADER + SLOT].copy_from_slice(&bytes[HEADER..HEADER + SLOT]);
-    assert_eq!(fault(&mixed), Fault::Slot);
+    mixed[HEADER_BYTES..HEADER_BYTES + SLOT_BYTES]
+        .copy_from_slice(&bytes[HEADER_BYTES..HEADER_BYTES + SLOT_BYTES]);
+    assert_eq!(error(&mixed), RecordError::Slot);
 }
 
-/// Guards against an execution that is left out for want of a slot, or because it is too long for one.
+/// Guards against a file that lacks an execution because no slot was free or the execution is too long for
+/// one.
 #[test]
-fn what_does_not_fit_makes_the_file_unknown() {
-    let long = Outstanding { id: "x".repeat(SLOT), ..outstanding(0) };
+fn an_execution_that_does_not_fit_invalidates_the_file() {
+    let long = Outstanding { id: "x".repeat(SLOT_BYTES), ..outstanding(0) };
     let (mut bytes, mut slots) = file(1, None, 0);
-    put(&mut bytes, [slots.add(&long)]);
-    assert_eq!(Record::read(&bytes, TABLE, BOOT), Err(Fault::Header));
-    assert_eq!(slots.completed(), None, "it stays so");
-    let (mut bytes, mut slots) = file(1, None, SLOTS as usize);
-    assert_eq!(read(&bytes).outstanding.len(), SLOTS as usize);
-    put(&mut bytes, [slots.add(&outstanding(SLOTS as usize))]);
-    assert_eq!(Record::read(&bytes, TABLE, BOOT), Err(Fault::Header));
+    apply(&mut bytes, [slots.add(&long)]);
+    assert_eq!(Record::decode(&bytes, TABLE_DIGEST, BOOT_ID), Err(RecordError::Header));
+    assert_eq!(slots.mark_complete(), None, "it stays invalid");
+    let (mut bytes, mut slots) = file(1, None, SLOT_COUNT as usize);
+    assert_eq!(read(&bytes).outstanding.len(), SLOT_COUNT as usize);
+    apply(&mut bytes, [slots.add(&outstanding(SLOT_COUNT as usize))]);
+    assert_eq!(Record::decode(&bytes, TABLE_DIGEST, BOOT_ID), Err(RecordError::Header));
 }
 
-/// Guards against a record of an earlier process that is taken for the last one's.
+/// Guards against accepting the record of an earlier process as the last one's.
 #[test]
-fn a_record_counts_where_the_keeper_knows_nobody_later() {
+fn a_record_is_latest_unless_the_leader_knows_a_later_process() {
     let [a, b, c, d] = [1, 2, 3, 4].map(Incarnation);
-    let complete = |incarnation, before: Option<&Record>| {
-        let (mut bytes, mut slots) = file(incarnation, before, 1);
-        put(&mut bytes, slots.completed());
+    let complete = |incarnation, previous: Option<&Record>| {
+        let (mut bytes, mut slots) = file(incarnation, previous, 1);
+        apply(&mut bytes, slots.mark_complete());
         read(&bytes)
     };
     let of_a = complete(1, None);
-    assert!(of_a.is_of_last(&[a]) && of_a.is_of_last(&[d, a]));
-    assert!(!of_a.is_of_last(&[]), "a keeper that knows nobody shows nothing");
-    assert!(!of_a.is_of_last(&[a, b]), "another came after it and left no record");
-    // The keeper never heard of the last one, whose file follows the one that it knows.
+    assert!(of_a.is_of_latest(&[a]) && of_a.is_of_latest(&[d, a]));
+    assert!(!of_a.is_of_latest(&[]), "a leader that knows no process confirms nothing");
+    assert!(!of_a.is_of_latest(&[a, b]), "a later process left no record");
+    // The leader never heard from the last process, whose file names the one that the leader knows.
     let of_b = complete(2, Some(&of_a));
-    assert!(of_b.is_of_last(&[a]) && of_b.is_of_last(&[a, b]) && !of_b.is_of_last(&[a, c]));
-    // Killed before it knew: its file holds what the one before left, if that was the last.
+    assert!(of_b.is_of_latest(&[a]) && of_b.is_of_latest(&[a, b]) && !of_b.is_of_latest(&[a, c]));
+    // Killed before its file was complete: the file includes what its predecessor left, if that was the last
+    // process.
     let (bytes, _) = file(3, Some(&of_a), 1);
     let of_c = read(&bytes);
-    assert!(of_c.is_of_last(&[a]) && of_c.is_of_last(&[a, c]));
-    assert!(!of_c.is_of_last(&[b, c]) && !of_c.is_of_last(&[c]) && !of_c.is_of_last(&[a, b]));
+    assert!(of_c.is_of_latest(&[a]) && of_c.is_of_latest(&[a, c]));
+    assert!(!of_c.is_of_latest(&[b, c]) && !of_c.is_of_latest(&[c]) && !of_c.is_of_latest(&[a, b]));
     let (bytes, _) = file(4, Some(&of_c), 1);
-    assert!(read(&bytes).is_of_last(&[a]), "what it inherits goes back to that one");
+    assert!(read(&bytes).is_of_latest(&[a]), "it inherits the executions since that one");
     let (bytes, _) = file(4, None, 1);
-    assert!(!read(&bytes).is_of_last(&[d]), "it knew nothing itself");
+    assert!(!read(&bytes).is_of_latest(&[d]), "it had no record itself");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-    /// One byte that is another is seen, wherever it stands in what is used.
+    /// Guards against accepting a file in which any one used byte has changed.
     #[test]
-    fn a_spoilt_byte_is_seen(at in 0usize..HEADER + 3 * SLOT, flip in 1u8..=255) {
+    fn detects_a_corrupted_byte(offset in 0usize..HEADER_BYTES + 3 * SLOT_BYTES, flip in 1u8..=255) {
         let (mut bytes, _) = file(1, None, 3);
-        let whole = read(&bytes);
-        let filler = bytes[at] == 0;
-        bytes[at] ^= flip;
-        let shown = Record::read(&bytes, TABLE, BOOT);
-        prop_assert!(shown.is_err() || (filler && shown == Ok(whole)), "{shown:?}");
+        let intact = read(&bytes);
+        let is_padding = bytes[offset] == 0;
+        bytes[offset] ^= flip;
+        let decoded = Record::decode(&bytes, TABLE_DIGEST, BOOT_ID);
+        prop_assert!(decoded.is_err() || (is_padding && decoded == Ok(intact)), "{decoded:?}");
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,50 +1,53 @@
-//! What the parts say to one another, as datagrams: a keyed hash of 16 bytes, then the fleet, who speaks, its incarnation and
-//! number, and the message (postcard). What can't be read, has another key or another fleet's name says nothing.
+//! Datagrams between the gateways of a fleet: a message authentication code of 16 bytes, then the
+//! postcard-encoded envelope with the fleet, the sender, its incarnation, a sequence number and the message.
+//! Datagrams that cannot be decoded, or are of another key or fleet, are ignored.
 
-use crate::seat::Ballot;
+use crate::voter::Ballot;
 use crate::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// The longest datagram; longer ones are passed over unread.
-pub const LONGEST: usize = 1200;
-const HASH: usize = 16;
+/// The longest datagram in bytes; longer ones are ignored.
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
+const MAC_BYTES: usize = 16;
 
-/// What every gateway of a fleet has, and nobody else.
+/// Secret key shared by the gateways of a fleet.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Of any text that is long enough not to be guessed; the file's last line end does not count.
-    pub fn read(text: &[u8]) -> Option<Key> {
+    /// Derives the key from a text of at least 16 bytes, without trailing white space.
+    pub fn derive(text: &[u8]) -> Option<Key> {
         let text = text.trim_ascii_end();
         (text.len() >= 16).then(|| Key(blake3::derive_key("bramblewharf fleet 1", text)))
     }
 
-    fn hash(&self, bytes: &[u8]) -> [u8; HASH] {
-        let mut short = [0; HASH];
-        short.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..HASH]);
-        short
+    fn mac(&self, bytes: &[u8]) -> [u8; MAC_BYTES] {
+        let mut truncated = [0; MAC_BYTES];
+        truncated.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..MAC_BYTES]);
+        truncated
     }
 }
 
-/// Of a name, so that two fleets of one key don't take each other's word.
-pub fn fleet_of(name: &str) -> u64 {
+/// Hash of a fleet's name, which keeps apart two fleets that share a key.
+pub fn fleet_id(name: &str) -> u64 {
     u64::from_le_bytes(blake3::hash(name.as_bytes()).as_bytes()[..8].try_into().unwrap_or_default())
 }
 
-/// Of anything that must be alike at all gateways, such as the table of budgets.
+/// Digest of anything that must be the same at all gateways, such as the table of budgets.
 pub fn digest(text: &str) -> u64 {
-    fleet_of(text)
+    fleet_id(text)
 }
 
+/// The sender of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Party {
-    Seat(u8),
-    Place(u32),
-    /// An operator's tool, which has the key and no place.
+    Voter(u8),
+    Member(u32),
+    /// An operator's tool, which has the key and is no member.
     Tool,
 }
 
+/// A message with its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     pub fleet: u64,
@@ -54,98 +57,105 @@
     pub message: Message,
 }
 
+/// Messages between voters, between members and the leader, and of the fleet's policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Between seats: who may keep the leave.
+    /// Phase 1 of an election between voters: asks for a promise to this ballot.
     Prepare(Ballot),
     Promise {
         ballot: Ballot,
-        /// Whose right this seat has agreed to and that has not ended.
+        /// The ballot whose leader lease this voter has accepted and that has not expired.
         accepted: Option<Ballot>,
     },
+    /// Phase 2 of an election: asks voters to accept this ballot.
     Propose(Ballot),
     Accept(Ballot),
-    /// A later one was promised.
-    Refuse {
+    /// Rejects a ballot because a later one was promised.
+    Reject {
         ballot: Ballot,
         promised: Ballot,
     },
-    /// A keeper that gives its right up.
+    /// A leader resigns.
     Release(Ballot),
-    /// A gateway asks for its leave.
-    Ask(Ask),
-    /// It leaves for good, and has so much in use yet.
+    /// A member requests or renews its grant.
+    GrantRequest(GrantRequest),
+    /// A member leaves the fleet for good and reports what it still has in use.
     Leaving {
         session: u64,
         holds: Vec<u64>,
     },
-    Give(Give),
-    /// This seat does not keep; perhaps that one does.
-    Elsewhere {
+    /// The leader grants a member its part of the budgets.
+    GrantReply(GrantReply),
+    /// This voter is not the leader; another one may be.
+    NotLeader {
         number: u64,
-        keeper: Option<u8>,
+        leader: Option<u8>,
     },
-    /// Ask again with this, so that I know that you are there now.
+    /// The member must repeat its request with this session, which proves that it is running now.
     Session {
         number: u64,
         session: u64,
     },
-    /// Your table of budgets is not mine: no leave.
-    Differs {
+    /// The member's table of budgets differs from the leader's: no grant.
+    TableMismatch {
         number: u64,
     },
-    /// Of the fleet's policy, as its own part writes and reads it.
+    /// A message of the policy protocol, encoded by the policy crate.
     Policy(Vec<u8>),
-    /// A gateway asks who was at its place before, and says what is in use yet of their leave; none: it can't tell.
-    Succeeds {
+    /// A member asks which processes ran under its id before, and reports how much of their grants is still
+    /// in use; `None` if it doesn't know.
+    TakeOver {
         session: u64,
-        rest: Option<Vec<u64>>,
+        remaining: Option<Vec<u64>>,
     },
-    /// Processes that were at that place, the latest last, by this keeper's book.
-    Former {
+    /// The earlier processes of that member id that this leader knows, the latest last.
+    Predecessors {
         number: u64,
-        /// Whom this answers.
-        of: Incarnation,
-        former: Vec<Incarnation>,
+        /// The process that this replies to.
+        reply_to: Incarnation,
+        predecessors: Vec<Incarnation>,
     },
 }
 
+/// A member's request for its grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    /// Of the keeper's giving; zero: none yet.
+pub struct GrantRequest {
+    /// Issued by the leader; zero if none yet.
     pub session: u64,
-    /// Of the table of budgets.
-    pub table: u64,
-    /// Since this process started, in ms: one that is older than all leave has no forerunner that has any.
-    pub up_ms: u64,
-    /// By budget, in grains: what is held, and what is needed, beyond the floor.
+    /// Digest of the table of budgets.
+    pub table_digest: u64,
+    /// Uptime of this process in ms. Once it exceeds the life of any grant, no predecessor can hold one.
+    pub uptime_ms: u64,
+    /// By budget, in grains: what is held and what is needed beyond the floor.
     pub holds: Vec<u64>,
     pub needs: Vec<u64>,
 }
 
+/// The leader's reply to a request: the member's grant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Give {
-    /// Of the question that this answers: leave counts from when that was asked.
+pub struct GrantReply {
+    /// Number of the request that this answers; the grant counts from when that was sent.
     pub number: u64,
     pub amounts: Vec<u64>,
-    /// Members that are in, and this one's rank among them.
+    /// Number of active members, and this one's rank among them.
     pub members: u32,
     pub rank: u32,
 }
 
 impl Envelope {
-    /// None where it would be too long.
-    pub fn write(&self, key: &Key) -> Option<Vec<u8>> {
+    /// Encodes and authenticates the envelope; `None` if it would exceed the datagram size.
+    pub fn encode(&self, key: &Key) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(self).ok()?;
-        let mut bytes = key.hash(&body).to_vec();
+        let mut bytes = key.mac(&body).to_vec();
         bytes.extend(body);
-        (bytes.len() <= LONGEST).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    pub fn read(bytes: &[u8], key: &Key, fleet: u64) -> Option<Envelope> {
-        let (hash, body) = bytes.split_at_checked(HASH).filter(|_| bytes.len() <= LONGEST)?;
-        // Equal hashes take as long to compare as others; which bytes differ is told to nobody.
-        let same = key.hash(body).iter().zip(hash).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0;
+    /// Decodes a datagram; `None` if it is malformed, or of another key or fleet.
+    pub fn decode(bytes: &[u8], key: &Key, fleet: u64) -> Option<Envelope> {
+        let (mac, body) = bytes.split_at_checked(MAC_BYTES).filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES)?;
+        // Constant-time comparison, so that timing does not reveal which bytes differ.
+        let same = key.mac(body).iter().zip(mac).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0;
         let envelope: Envelope = postcard::from_bytes(body).ok().filter(|_| same)?;
         (envelope.fleet == fleet).then_some(envelope)
     }
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -1,37 +1,37 @@
-//! What a keeper gives away of a killed process's part, and when.
+//! When the leader frees what a killed process had been granted.
 
 use bramblewharf_budgets::{Budget, Measure, Scope, GRAIN};
-use bramblewharf_fleet::seat::Ballot;
-use bramblewharf_fleet::wire::{Ask, Message};
-use bramblewharf_fleet::{Incarnation, Keeper, Terms};
+use bramblewharf_fleet::voter::Ballot;
+use bramblewharf_fleet::wire::{GrantRequest, Message};
+use bramblewharf_fleet::{FleetConfig, Incarnation, Leader};
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-const TABLE: u64 = 1;
+const TABLE_DIGEST: u64 = 1;
 const POOL: u64 = 8 * GRAIN;
 
-fn terms() -> Terms {
-    Terms {
+fn config() -> FleetConfig {
+    FleetConfig {
         fleet: 1,
-        places: 2,
-        seats: 1,
+        max_members: 2,
+        voters: 1,
         lease: 1000 * MS,
         drift_percent: 1,
-        run_out: 1500 * MS,
-        engines_keep: 500 * MS,
-        wrong: None,
+        max_execution_time: 1500 * MS,
+        orphan_retention: 500 * MS,
+        injected_bug: None,
     }
 }
 
-/// A keeper that has waited out whatever was given before it.
-struct Book {
-    keeper: Keeper,
+/// A leader after its recovery period, with the current time and the number of the last request.
+struct LeaderFixture {
+    leader: Leader,
     now: Duration,
     number: u64,
 }
 
-impl Book {
-    fn start() -> Book {
+impl LeaderFixture {
+    fn start() -> LeaderFixture {
         let budget = Budget {
             name: "b".into(),
             scope: Scope::default(),
@@ -41,101 +41,109 @@
             quantum: GRAIN,
             burst: Duration::ZERO,
         };
-        let ballot = Ballot { round: 1, seat: 0, incarnation: Incarnation(9) };
-        let keeper = Keeper::start(ballot, terms(), vec![budget], TABLE, 1, Duration::ZERO);
-        let mut book = Book { keeper, now: Duration::ZERO, number: 0 };
-        book.pass(terms().until_free());
-        book
+        let ballot = Ballot { round: 1, voter: 0, incarnation: Incarnation(9) };
+        let leader = Leader::start(ballot, config(), vec![budget], TABLE_DIGEST, 1, Duration::ZERO);
+        let mut fixture = LeaderFixture { leader, now: Duration::ZERO, number: 0 };
+        fixture.advance(config().reclaim_delay());
+        fixture
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
             self.now += 100 * MS;
-            assert!(self.keeper.tick(self.now));
+            assert!(self.leader.tick(self.now));
         }
     }
 
-    fn ask(&mut self, from: u64, session: u64, holds: u64) -> Message {
+    fn request(&mut self, from: u64, session: u64, holds: u64) -> Message {
         self.number += 1;
-        let ask = Ask { session, table: TABLE, up_ms: 0, holds: vec![holds], needs: vec![POOL] };
-        self.keeper.ask(0, Incarnation(from), self.number, ask).expect("an answer")
+        let request = GrantRequest {
+            session,
+            table_digest: TABLE_DIGEST,
+            uptime_ms: 0,
+            holds: vec![holds],
+            needs: vec![POOL],
+        };
+        self.leader.handle_request(0, Incarnation(from), self.number, request).expect("a reply")
     }
 
-    /// A process comes in at place 0; its session.
-    fn comes_in(&mut self, from: u64) -> u64 {
-        let Message::Session { session, .. } = self.ask(from, 0, 0) else { panic!("no session") };
-        let Message::Give(_) = self.ask(from, session, 0) else { panic!("not in") };
+    /// Admits a process as member 0 and returns its session.
+    fn admit(&mut self, from: u64) -> u64 {
+        let Message::Session { session, .. } = self.request(from, 0, 0) else { panic!("no session") };
+        let Message::GrantReply(_) = self.request(from, session, 0) else { panic!("not admitted") };
         session
     }
 
-    /// What it is given, which it then holds.
-    fn given(&mut self, from: u64, session: u64, holds: u64) -> u64 {
-        match self.ask(from, session, holds) {
-            Message::Give(give) => give.amounts[0],
+    /// Sends a request and returns the granted amount.
+    fn grant(&mut self, from: u64, session: u64, holds: u64) -> u64 {
+        match self.request(from, session, holds) {
+            Message::GrantReply(reply) => reply.amounts[0],
             other => panic!("{other:?}"),
         }
     }
 
-    fn succeeds(&mut self, from: u64, session: u64, rest: Option<u64>) -> Option<Message> {
+    fn take_over(&mut self, from: u64, session: u64, remaining: Option<u64>) -> Option<Message> {
         self.number += 1;
-        let rest = rest.map(|rest| vec![rest]);
-        self.keeper.succeeds(0, Incarnation(from), self.number, session, rest)
+        let remaining = remaining.map(|remaining| vec![remaining]);
+        self.leader.handle_take_over(0, Incarnation(from), self.number, session, remaining)
     }
 
-    fn of_gone(&self) -> u64 {
-        self.keeper.totals()[0].1
+    fn held_by_orphans(&self) -> u64 {
+        self.leader.totals()[0].1
     }
 }
 
-/// Guards against a killed process's part that is given anew before the one after it has said what is left of it. One that never says,
-/// as of an earlier edition, leaves it held for as long as a silent gateway's.
+/// Guards against reassigning a killed process's grant before its successor has reported how much is still in
+/// use. Without a report, as from an earlier release, the grant is held as long as a silent member's.
 #[test]
-fn what_a_killed_process_had_is_held_until_the_next_says_what_is_left() {
-    let mut book = Book::start();
-    let first = book.comes_in(1);
-    let had = book.given(1, first, 0);
-    assert!(had > 0);
-    book.given(1, first, had);
-    let second = book.comes_in(2);
-    assert_eq!(book.of_gone(), had);
-    book.pass(terms().ghost() * 2);
-    assert_eq!(book.of_gone(), had, "engines' time alone frees nothing");
-    let former = book.succeeds(2, second, None);
-    assert!(matches!(former, Some(Message::Former { former, .. }) if former == [Incarnation(1)]));
-    assert_eq!(book.of_gone(), had, "it can't tell yet");
-    book.succeeds(2, second, Some(2 * GRAIN));
-    assert_eq!(book.of_gone(), 2 * GRAIN);
-    book.succeeds(2, second, Some(had));
-    assert_eq!(book.of_gone(), 2 * GRAIN, "it grows no more");
-    book.succeeds(2, second, Some(0));
-    assert_eq!(book.of_gone(), 0);
+fn the_grant_of_a_killed_process_is_held_until_its_successor_reports() {
+    let mut fixture = LeaderFixture::start();
+    let first = fixture.admit(1);
+    let granted = fixture.grant(1, first, 0);
+    assert!(granted > 0);
+    fixture.grant(1, first, granted);
+    let second = fixture.admit(2);
+    assert_eq!(fixture.held_by_orphans(), granted);
+    fixture.advance(config().max_orphan_time() * 2);
+    assert_eq!(fixture.held_by_orphans(), granted, "orphan retention alone frees nothing");
+    let predecessors = fixture.take_over(2, second, None);
+    assert!(
+        matches!(predecessors, Some(Message::Predecessors { predecessors, .. }) if predecessors == [Incarnation(1)])
+    );
+    assert_eq!(fixture.held_by_orphans(), granted, "the successor doesn't know yet");
+    fixture.take_over(2, second, Some(2 * GRAIN));
+    assert_eq!(fixture.held_by_orphans(), 2 * GRAIN);
+    fixture.take_over(2, second, Some(granted));
+    assert_eq!(fixture.held_by_orphans(), 2 * GRAIN, "a later report must not raise it");
+    fixture.take_over(2, second, Some(0));
+    assert_eq!(fixture.held_by_orphans(), 0);
 }
 
 #[test]
-fn a_part_of_which_nothing_is_said_is_held_as_a_silent_gateways() {
-    let mut book = Book::start();
-    let first = book.comes_in(1);
-    let had = book.given(1, first, 0);
-    book.given(1, first, had);
-    let second = book.comes_in(2);
-    book.given(2, second, 0);
-    book.pass(terms().until_free() - 200 * MS);
-    assert_eq!(book.of_gone(), had);
-    book.pass(300 * MS);
-    assert_eq!(book.of_gone(), 0);
+fn an_unreported_grant_is_held_as_long_as_a_silent_members() {
+    let mut fixture = LeaderFixture::start();
+    let first = fixture.admit(1);
+    let granted = fixture.grant(1, first, 0);
+    fixture.grant(1, first, granted);
+    let second = fixture.admit(2);
+    fixture.grant(2, second, 0);
+    fixture.advance(config().reclaim_delay() - 200 * MS);
+    assert_eq!(fixture.held_by_orphans(), granted);
+    fixture.advance(300 * MS);
+    assert_eq!(fixture.held_by_orphans(), 0);
 }
 
-/// Guards against a word of an earlier process, or of nobody, that frees what another has out.
+/// Guards against a report of an earlier or unknown process that frees what another has in flight.
 #[test]
-fn only_the_process_that_is_there_says_what_is_left() {
-    let mut book = Book::start();
-    let first = book.comes_in(1);
-    let had = book.given(1, first, 0);
-    book.given(1, first, had);
-    let second = book.comes_in(2);
+fn only_the_current_process_can_report() {
+    let mut fixture = LeaderFixture::start();
+    let first = fixture.admit(1);
+    let granted = fixture.grant(1, first, 0);
+    fixture.grant(1, first, granted);
+    let second = fixture.admit(2);
     for (from, session) in [(1, first), (2, first), (1, second), (3, second), (2, second + 1)] {
-        assert_eq!(book.succeeds(from, session, Some(0)), None);
+        assert_eq!(fixture.take_over(from, session, Some(0)), None);
     }
-    assert_eq!(book.of_gone(), had);
+    assert_eq!(fixture.held_by_orphans(), granted);
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -2,9 +2,9 @@
 
 use crate::operators::FleetTerms;
 use bramblewharf_budgets::usage::units;
-use bramblewharf_fleet::keeper::Standing;
-use bramblewharf_fleet::node::{Node, Status, To};
-use bramblewharf_fleet::wire::LONGEST;
+use bramblewharf_fleet::leader::MemberStatus;
+use bramblewharf_fleet::node::{Node, Recipient, Status};
+use bramblewharf_fleet::wire::MAX_DATAGRAM_BYTES;
 use bramblewharf_fleet::{Envelope, Key};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -41,7 +41,7 @@
         Ok(Link {
             socket,
             key: terms.key.clone(),
-            fleet: terms.start.terms.fleet,
+            fleet: terms.start.config.fleet,
             seats: terms.seats.clone(),
             sent: Cell::new((None, 0)),
             held_back: Cell::new(0),
@@ -52,12 +52,12 @@
     }
 
     /// Sends at once or not at all: whatever is said is said again until it is answered.
-    pub fn say(&self, to: &To, envelope: &Envelope) {
+    pub fn say(&self, to: &Recipient, envelope: &Envelope) {
         let address = match to {
-            To::Seat(seat) => self.seats.get(usize::from(*seat)).copied(),
-            To::Address(address) => Some(*address),
+            Recipient::Voter(seat) => self.seats.get(usize::from(*seat)).copied(),
+            Recipient::Address(address) => Some(*address),
         };
-        let (Some(address), Some(bytes)) = (address, envelope.write(&self.key)) else { return };
+        let (Some(address), Some(bytes)) = (address, envelope.encode(&self.key)) else { return };
         let (since, sent) = self.sent.get();
         let (since, sent) = match since.filter(|since| since.elapsed() < Duration::from_secs(1)) {
             Some(since) => (since, sent),
@@ -72,10 +72,10 @@
     }
 
     pub async fn hear(&self) -> (Envelope, SocketAddr) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut bytes).await {
-                Ok((length, from)) => match Envelope::read(&bytes[..length], &self.key, self.fleet) {
+                Ok((length, from)) => match Envelope::decode(&bytes[..length], &self.key, self.fleet) {
                     Some(envelope) => return (envelope, from),
                     None => self.passed_over.set(self.passed_over.get() + 1),
                 },
@@ -175,19 +175,19 @@
         for (number, (f, row)) in figures.iter().zip(&rows).enumerate() {
             if self.last.get(number) != Some(row) {
                 let ends = at + f.until.saturating_sub(now);
-                let fact = json!({"at_us": at.as_micros() as u64, "place": node.place(),
+                let fact = json!({"at_us": at.as_micros() as u64, "place": node.member_id(),
                     "incarnation": format!("{:x}", node.incarnation().0), "budget": f.budget, "whole": f.whole,
                     "floor": f.floor, "leave": f.leave, "in_use": f.in_use, "until_us": ends.as_micros() as u64});
                 text += &format!("{fact}\n");
             }
         }
         self.last = rows;
-        let keeps = node.keeps(now);
+        let keeps = node.is_leader(now);
         if keeps != self.kept {
             self.kept = keeps;
             text += &format!(
                 "{}\n",
-                json!({"at_us": at.as_micros() as u64, "place": node.place(), "keeps": keeps})
+                json!({"at_us": at.as_micros() as u64, "place": node.member_id(), "keeps": keeps})
             );
         }
         if policy.is_some() && self.decides.as_ref() != policy {
@@ -195,7 +195,7 @@
             let (standing, by, until) = policy.cloned().unwrap_or_default();
             let ends = until.map(|until| (at + until.saturating_sub(now)).as_micros() as u64);
             let by: Vec<String> = by.iter().map(|digest| digest.to_string()).collect();
-            let fact = json!({"at_us": at.as_micros() as u64, "place": node.place(), "decides": standing, "by": by,
+            let fact = json!({"at_us": at.as_micros() as u64, "place": node.member_id(), "decides": standing, "by": by,
                 "until_us": ends});
             text += &format!("{fact}\n");
         }
@@ -222,20 +222,20 @@
         })
         .collect();
     let names: Vec<&String> = status.budgets.iter().map(|f| &f.budget).collect();
-    let keeper = status.keeper.as_ref().map(|keeper| {
+    let keeper = status.leader.as_ref().map(|keeper| {
         let members: Vec<Value> = keeper
             .members
             .iter()
             .map(|m| {
-                let standing = match m.standing {
-                    Standing::In => "in",
-                    Standing::InDoubt => "in doubt",
-                    Standing::Gone => "gone",
-                    Standing::Left => "left",
+                let standing = match m.status {
+                    MemberStatus::Active => "in",
+                    MemberStatus::Suspect => "in doubt",
+                    MemberStatus::Expired => "gone",
+                    MemberStatus::Left => "left",
                 };
-                json!({"place": m.place, "incarnation": format!("{:016x}", m.incarnation.0), "standing": standing,
-                    "silent_ms": m.silent.as_millis() as u64,
-                    "given": m.given.iter().map(|n| units(*n)).collect::<Vec<_>>(),
+                json!({"place": m.member_id, "incarnation": format!("{:016x}", m.incarnation.0), "standing": standing,
+                    "silent_ms": m.silent_for.as_millis() as u64,
+                    "given": m.granted.iter().map(|n| units(*n)).collect::<Vec<_>>(),
                     "needs": m.needs.iter().map(|n| units(*n)).collect::<Vec<_>>()})
             })
             .collect();
@@ -243,17 +243,17 @@
         let totals = totals.map(|((given, gone), name)| {
             json!({"budget": name, "given": units(*given), "of_gone": units(*gone)})
         });
-        json!({"waits_out": keeper.waits_out, "members": members, "totals": totals.collect::<Vec<_>>(),
-            "given": keeper.counts.given, "old": keeper.counts.old, "differs": keeper.counts.differs,
-            "too_much": keeper.counts.too_much})
+        json!({"waits_out": keeper.is_recovering, "members": members, "totals": totals.collect::<Vec<_>>(),
+            "given": keeper.counts.granted, "old": keeper.counts.stale, "differs": keeper.counts.table_mismatches,
+            "too_much": keeper.counts.over_reported})
     });
-    let seat = status.seat.as_ref().map(
-        |seat| json!({"seat": seat.seat, "votes": seat.votes, "keeper": seat.keeper, "bids": seat.bids}),
+    let seat = status.voter.as_ref().map(
+        |seat| json!({"seat": seat.voter, "votes": seat.can_vote, "keeper": seat.leader, "bids": seat.proposals}),
     );
-    json!({"place": status.place, "incarnation": format!("{:016x}", status.incarnation.0),
-        "asks_seat": status.asks, "has_leave": status.has_leave, "members": status.members,
-        "asked": status.holder.asked, "given": status.holder.given, "unanswered": status.holder.unanswered,
-        "late": status.holder.late, "differs": status.holder.differs,
-        "passed_over": status.passed_over + link.passed_over.get(), "held_back": link.held_back.get(),
+    json!({"place": status.member_id, "incarnation": format!("{:016x}", status.incarnation.0),
+        "asks_seat": status.requests_to, "has_leave": status.has_grant, "members": status.members,
+        "asked": status.grant_holder.requests, "given": status.grant_holder.granted, "unanswered": status.grant_holder.timeouts,
+        "late": status.grant_holder.late_replies, "differs": status.grant_holder.table_mismatches,
+        "passed_over": status.ignored + link.passed_over.get(), "held_back": link.held_back.get(),
         "budgets": budgets, "seat": seat, "keeper": keeper})
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -5,8 +5,8 @@
 use bramblewharf_bodies as bodies;
 use bramblewharf_budgets as budgets;
 use bramblewharf_budgets::{grains, Measure, Scope, GRAIN};
-use bramblewharf_fleet::wire::{digest, fleet_of};
-use bramblewharf_fleet::{node, Incarnation, Key, Terms};
+use bramblewharf_fleet::wire::{digest, fleet_id};
+use bramblewharf_fleet::{node, FleetConfig, Incarnation, Key};
 use bytesize::ByteSize;
 use hcl::edit::structure::{Body, Structure};
 use hcl::edit::Span as _;
@@ -170,7 +170,7 @@
         let Some(fleet) = &self.fleet else { return Ok(None) };
         let shown = fleet.key_file.display();
         let key = std::fs::read(&fleet.key_file).map_err(|e| format!("fleet.key_file: {shown}: {e}"))?;
-        let key = Key::read(&key).ok_or_else(|| format!("fleet.key_file: {shown}: is under 16 bytes"))?;
+        let key = Key::derive(&key).ok_or_else(|| format!("fleet.key_file: {shown}: is under 16 bytes"))?;
         let place = fleet.place.unwrap_or(known.number);
         if place >= fleet.places {
             return Err(format!("fleet.place: {place} is none of the {} of fleet.places", fleet.places));
@@ -198,26 +198,26 @@
         }
         // Alike at all gateways or not: which place or seat this one has is its own.
         let alike = format!("{:?}", (&fleet.name, fleet.places, fleet.seats.len(), fleet.lease, &all));
-        let terms = Terms {
-            fleet: fleet_of(&fleet.name),
-            places: fleet.places,
-            seats: fleet.seats.len() as u8,
+        let config = FleetConfig {
+            fleet: fleet_id(&fleet.name),
+            max_members: fleet.places,
+            voters: fleet.seats.len() as u8,
             lease: fleet.lease,
             drift_percent: fleet.drift_percent,
-            run_out: known.longest + fleet.engines_keep,
-            engines_keep: fleet.engines_keep,
-            wrong: None,
+            max_execution_time: known.longest + fleet.engines_keep,
+            orphan_retention: fleet.engines_keep,
+            injected_bug: None,
         };
         let incarnation = new_number();
-        let policy = fleet.policy_terms(known, &terms, place, incarnation)?;
+        let policy = fleet.policy_terms(known, &config, place, incarnation)?;
         let start = node::Start {
-            place,
-            seat: fleet.seat,
+            member_id: place,
+            voter: fleet.seat,
             // New with every start, also where the seed is not: chance from the system's own hash keys.
             incarnation: Incarnation(incarnation),
-            terms,
+            config,
             budgets: all,
-            table: digest(&alike),
+            table_digest: digest(&alike),
             seed: known.seed ^ new_number(),
         };
         Ok(Some(FleetTerms {
@@ -238,7 +238,7 @@
     fn policy_terms(
         &self,
         known: &Known,
-        terms: &Terms,
+        config: &FleetConfig,
         place: u32,
         incarnation: u64,
     ) -> Result<Option<PolicyTerms>, String> {
@@ -249,7 +249,7 @@
         let start = bramblewharf_policy::Start {
             place,
             seat: self.seat,
-            terms: bramblewharf_policy::Terms { fleet: terms.clone(), wrong: None },
+            terms: bramblewharf_policy::Terms { fleet: config.clone(), wrong: None },
             check: policy::check(known.names.clone()),
             own,
             file,
--- a/crates/gateway/src/policy_cli.rs
+++ b/crates/gateway/src/policy_cli.rs
@@ -3,7 +3,7 @@
 
 use crate::operators::{self, Fleet};
 use crate::{config, policy};
-use bramblewharf_fleet::wire::{fleet_of, Message, Party, LONGEST};
+use bramblewharf_fleet::wire::{fleet_id, Message, Party, MAX_DATAGRAM_BYTES};
 use bramblewharf_fleet::{Envelope, Incarnation, Key};
 use bramblewharf_policy::say::{Say, Stands, PIECE};
 use bramblewharf_policy::{Digest, Revision};
@@ -160,14 +160,14 @@
             operators.fleet.ok_or_else(|| format!("{shown}: has no fleet block"))?;
         let key =
             std::fs::read(&key_file).map_err(|e| format!("fleet.key_file: {}: {e}", key_file.display()))?;
-        let key = Key::read(&key).ok_or("fleet.key_file: is under 16 bytes")?;
+        let key = Key::derive(&key).ok_or("fleet.key_file: is under 16 bytes")?;
         let any: SocketAddr = match seats.first().is_some_and(SocketAddr::is_ipv6) {
             true => (Ipv6Addr::UNSPECIFIED, 0).into(),
             false => (Ipv4Addr::UNSPECIFIED, 0).into(),
         };
         let socket = UdpSocket::bind(any).map_err(|e| format!("socket: {e}"))?;
         socket.set_read_timeout(Some(AGAIN / 4)).map_err(|e| format!("socket: {e}"))?;
-        Ok(Tool { socket, key, fleet: fleet_of(&name), seats })
+        Ok(Tool { socket, key, fleet: fleet_id(&name), seats })
     }
 
     fn say(&self, to: SocketAddr, say: &Say) {
@@ -179,7 +179,7 @@
             number: 0,
             message,
         };
-        if let Some(bytes) = envelope.write(&self.key) {
+        if let Some(bytes) = envelope.encode(&self.key) {
             let _ = self.socket.send_to(&bytes, to);
         }
     }
@@ -190,9 +190,9 @@
 
     /// The next word of a seat, if one comes soon.
     fn hear(&self) -> Option<(SocketAddr, Say)> {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, from) = self.socket.recv_from(&mut bytes).ok()?;
-        match Envelope::read(&bytes[..length], &self.key, self.fleet)?.message {
+        match Envelope::decode(&bytes[..length], &self.key, self.fleet)?.message {
             Message::Policy(bytes) => Some((from, Say::read(&bytes)?)),
             _ => None,
         }
--- a/crates/gateway/src/record_file.rs
+++ b/crates/gateway/src/record_file.rs
@@ -17,13 +17,14 @@
 pub fn read(path: &Path, start: &node::Start, log: &Logger) -> (Predecessor, Slots) {
     let boot = boot();
     let record = fs::read(path).map_err(|error| error.to_string()).and_then(|bytes| {
-        Record::read(&bytes, start.table, boot).map_err(|fault| format!("{}: {fault}", path.display()))
+        Record::decode(&bytes, start.table_digest, boot)
+            .map_err(|fault| format!("{}: {fault}", path.display()))
     });
     let record = record.map_err(|fault| {
         slog::info!(log, "no record of what the process before had out"; "why" => fault);
     });
     let record = record.ok();
-    let slots = Slots::start(start.incarnation, start.table, boot, record.as_ref());
+    let slots = Slots::start(start.incarnation, start.table_digest, boot, record.as_ref());
     (record.map_or(Predecessor::Unknown, Predecessor::Recorded), slots)
 }
 
@@ -46,7 +47,7 @@
         let file = tempfile::NamedTempFile::new_in(folder)?;
         file.as_file().set_len(FILE_SIZE)?;
         for write in writes {
-            file.as_file().write_all_at(&write.bytes, write.at)?;
+            file.as_file().write_all_at(&write.bytes, write.offset)?;
         }
         let file = file.persist(path)?;
         Ok(RecordFile { path: path.into(), file: RefCell::new(Some(file)) })
@@ -55,7 +56,7 @@
     /// Where it fails the file is removed: the process after this one knows nothing then, which is true.
     pub fn write(&self, write: &Write, log: &Logger) {
         let mut file = self.file.borrow_mut();
-        let Some(Err(error)) = file.as_ref().map(|file| file.write_all_at(&write.bytes, write.at)) else {
+        let Some(Err(error)) = file.as_ref().map(|file| file.write_all_at(&write.bytes, write.offset)) else {
             return;
         };
         *file = None;
--- a/crates/gateway/src/record_file/tests.rs
+++ b/crates/gateway/src/record_file/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use bramblewharf_fleet::outstanding::Outstanding;
-use bramblewharf_fleet::{Incarnation, Terms};
+use bramblewharf_fleet::{FleetConfig, Incarnation};
 use std::time::Duration;
 
 fn log() -> Logger {
@@ -9,23 +9,31 @@
 
 fn start(incarnation: u64) -> node::Start {
     let second = Duration::from_secs(1);
-    let terms = Terms {
+    let config = FleetConfig {
         fleet: 1,
-        places: 1,
-        seats: 1,
+        max_members: 1,
+        voters: 1,
         lease: second,
         drift_percent: 1,
-        run_out: second,
-        engines_keep: second,
-        wrong: None,
+        max_execution_time: second,
+        orphan_retention: second,
+        injected_bug: None,
     };
     let incarnation = Incarnation(incarnation);
-    node::Start { place: 0, seat: None, incarnation, terms, budgets: Vec::new(), table: 7, seed: 1 }
+    node::Start {
+        member_id: 0,
+        voter: None,
+        incarnation,
+        config,
+        budgets: Vec::new(),
+        table_digest: 7,
+        seed: 1,
+    }
 }
 
 fn outstanding() -> Outstanding {
     let engine = std::net::SocketAddr::from(([127, 0, 0, 1], 80));
-    Outstanding { id: "5e0c61f2a94d7b38".into(), execution: 0, engine, took: vec![(0, 1000)] }
+    Outstanding { id: "5e0c61f2a94d7b38".into(), execution: 0, engine, demand: vec![(0, 1000)] }
 }
 
 #[test]
@@ -37,7 +45,7 @@
     let file = RecordFile::replace(&path, &[slots.header()]).unwrap();
     file.write(&slots.add(&outstanding()), &log());
     let Predecessor::Recorded(record) = read(&path, &start(2), &log()).0 else { panic!("no record") };
-    assert_eq!((record.life.incarnation, record.outstanding), (Incarnation(1), vec![outstanding()]));
+    assert_eq!((record.run.incarnation, record.outstanding), (Incarnation(1), vec![outstanding()]));
     // One that is cut is none.
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() / 2]).unwrap();
--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/src/reducer.rs
@@ -268,7 +268,7 @@
                 self.carry_policy(now, said.unwrap_or_default());
             }
             Input::Fleet(envelope, from) => {
-                let said = self.fleet.as_mut().map(|node| node.heard(now, envelope, from));
+                let said = self.fleet.as_mut().map(|node| node.handle_message(now, envelope, from));
                 self.carry_on(now, said.unwrap_or_default());
             }
             Input::Depart => {
@@ -472,15 +472,15 @@
     /// An execution has ended as its engine or the network told.
     fn ended(&mut self, now: Duration, id: &Id, execution: usize, ending: Ending) {
         let remains = match ending.outcome {
-            _ if ending.unread => Remains::Unheard,
+            _ if ending.unread => Remains::Unconfirmed,
             Outcome::Completed | Outcome::Full | Outcome::Skipped | Outcome::Refused => Remains::Nothing,
             // Neither a word that is no ending nor a connection that ended shows that nothing runs any more.
-            _ => Remains::UntilForgotten,
+            _ => Remains::Orphaned,
         };
         let to = self.out(id, execution).map(|x| (x.engine.clone(), x.address));
         self.end(now, id, execution, ending, remains);
         // What the budgets count of it is free as soon as its engine answers, not only when it can't begin any more.
-        if let Some((engine, address)) = to.filter(|_| remains == Remains::Unheard) {
+        if let Some((engine, address)) = to.filter(|_| remains == Remains::Unconfirmed) {
             if let Some(cancel) = self.cancel_unheard(id, execution) {
                 self.effects.push(Effect::Stop { id: id.clone(), execution, engine, address, cancel });
             }
@@ -491,12 +491,12 @@
     fn stopped(&mut self, now: Duration, id: &Id, execution: usize, after: AfterCancel) {
         let remains = match after {
             AfterCancel::Over => Remains::Nothing,
-            AfterCancel::Gone | AfterCancel::CutOff => Remains::UntilForgotten,
-            AfterCancel::Unread | AfterCancel::Unknown => Remains::Unheard,
+            AfterCancel::Gone | AfterCancel::CutOff => Remains::Orphaned,
+            AfterCancel::Unread | AfterCancel::Unknown => Remains::Unconfirmed,
         };
         let remains = match after {
             // The connection of a process that was killed was not reset: what the system held of it may yet arrive.
-            AfterCancel::CutOff if self.unsettled.is_inherited(id, execution) => Remains::Unheard,
+            AfterCancel::CutOff if self.unsettled.is_inherited(id, execution) => Remains::Unconfirmed,
             _ => remains,
         };
         let stopping = self.out(id, execution).and_then(|x| x.stopping);
@@ -525,11 +525,11 @@
         let (engine, elapsed) = (x.engine.clone(), now.saturating_sub(x.sent));
         let parts = std::mem::take(&mut x.took);
         let Ending { outcome, pages, took, report, .. } = ending;
-        x.unheard = remains == Remains::Unheard;
+        x.unheard = remains == Remains::Unconfirmed;
         x.never_ran = matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::Skipped);
         let open = stmt.open.is_some();
         if let Some(node) = self.fleet.as_mut().filter(|_| !parts.is_empty()) {
-            let name = node.ended(now, parts, remains);
+            let name = node.execution_ended(now, parts, remains);
             let write = self.unsettled.ended(id, execution, name);
             self.effects.extend(write.map(Effect::Record));
             self.room_changed = true;
@@ -577,7 +577,7 @@
         }
         if !self.one_at_a_time || now >= last {
             let outcome = stopping.unwrap_or(outcome);
-            return self.end(now, id, execution, outcome.into(), Remains::Unheard);
+            return self.end(now, id, execution, outcome.into(), Remains::Unconfirmed);
         }
         let at = self.set(last, Due::Execution(id.clone(), execution));
         let x = self.stmts.get_mut(id).and_then(|s| s.executions.get_mut(execution));
@@ -590,7 +590,8 @@
 
     /// How the engine of an execution is told to end it, of a statement that has so much time left.
     fn cancel(&self, x: &Execution, left: Duration) -> Cancel {
-        let counted = self.fleet.as_ref().filter(|_| !x.took.is_empty()).map(|node| node.unheard());
+        let counted =
+            self.fleet.as_ref().filter(|_| !x.took.is_empty()).map(|node| node.max_unconfirmed_time());
         let waits = if self.one_at_a_time { left } else { Duration::ZERO };
         let within = CANCEL_WITHIN.max(waits).max(counted.unwrap_or_default());
         Cancel { arrived: x.arrived, within, awaited: !waits.is_zero() || counted.is_some() }
@@ -657,7 +658,7 @@
             }
             Action::Takes { id, took } => {
                 if let (Some(stmt), Some(node)) = (self.stmts.get_mut(&id), &mut self.fleet) {
-                    node.took(now, &took);
+                    node.execution_started(now, &took);
                     stmt.takes = took;
                 }
             }
@@ -710,8 +711,8 @@
         let at = self.set(now + timeout, Due::Execution(id.clone(), execution));
         let Some(stmt) = self.stmts.get_mut(&id) else { return };
         if !stmt.takes.is_empty() {
-            let took = stmt.takes.clone();
-            let outstanding = || Outstanding { id: id.to_string(), execution, engine: address, took };
+            let demand = stmt.takes.clone();
+            let outstanding = || Outstanding { id: id.to_string(), execution, engine: address, demand };
             self.effects.extend(self.unsettled.sent(outstanding).map(Effect::Record));
         }
         stmt.executions.push(Execution {
@@ -727,7 +728,7 @@
         });
         self.counts.executions += 1;
         let (parcel, mem_mb) = (stmt.parcel.clone(), stmt.mem_mb);
-        let not_after = self.fleet.as_ref().and_then(|node| node.sends_until(now));
+        let not_after = self.fleet.as_ref().and_then(|node| node.send_deadline(now));
         self.effects.push(Effect::Start {
             id,
             execution,
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -53,7 +53,7 @@
         self.unsettled = Unsettled::with_record(slots);
         let writes = self.unsettled.first_writes(&inherited);
         self.effects.extend(writes.into_iter().map(Effect::Record));
-        let cancel = Cancel { arrived: false, within: node.unheard(), awaited: true };
+        let cancel = Cancel { arrived: false, within: node.max_unconfirmed_time(), awaited: true };
         for (Outstanding { id, execution, engine: address, .. }, name) in inherited {
             let id = Id::from(id);
             let engine = Id::from(address.to_string());
@@ -80,10 +80,11 @@
     pub(super) fn look_at_unsettled(&mut self, now: Duration) {
         let Some(node) = &self.fleet else { return };
         self.effects.extend(self.unsettled.look(node).into_iter().map(Effect::Record));
-        if node.counts_all() {
+        if node.counts_everything() {
             self.hearing = None;
         }
-        let (within, name) = (node.unheard(), Id::from(format!("{:016x}", node.incarnation().0)));
+        let (within, name) =
+            (node.max_unconfirmed_time(), Id::from(format!("{:016x}", node.incarnation().0)));
         let next = self.hearing.as_mut().map(|hearing| hearing.next(now)).unwrap_or_default();
         let hear = |address| Effect::Hear { address, name: name.clone(), within };
         self.effects.extend(next.into_iter().map(hear));
@@ -94,7 +95,7 @@
         hearing.heard(has_read);
         if hearing.is_over() {
             self.hearing = None;
-            node.engines_heard(now);
+            node.engines_confirmed(now);
             // The floors are there sooner.
             self.room_changed = true;
             self.tell_room(now);
@@ -105,7 +106,7 @@
     pub(super) fn tick_policy(&mut self, now: Duration) {
         let (Some(policy), Some(node)) = (&mut self.policy, &self.fleet) else { return };
         if now >= policy.node.due(now) {
-            let said = policy.node.tick(now, node.right(now));
+            let said = policy.node.tick(now, node.leader_lease(now));
             self.carry_policy(now, said);
         }
     }
@@ -114,11 +115,11 @@
         let (Some(policy), Some(node)) = (&mut self.policy, &self.fleet) else { return };
         let Some(say) = policy::Say::read(bytes) else { return };
         let (to, place) = match party {
-            Party::Seat(seat) => (node::To::Seat(seat), None),
-            Party::Place(place) => (node::To::Address(from), Some(place)),
-            Party::Tool => (node::To::Address(from), None),
+            Party::Voter(seat) => (node::Recipient::Voter(seat), None),
+            Party::Member(place) => (node::Recipient::Address(from), Some(place)),
+            Party::Tool => (node::Recipient::Address(from), None),
         };
-        let said = policy.node.heard(now, to, place, say, node.right(now));
+        let said = policy.node.heard(now, to, place, say, node.leader_lease(now));
         self.carry_policy(now, said);
     }
 
@@ -128,7 +129,7 @@
             match effect {
                 policy::Effect::Say { to, say } => {
                     let as_place = matches!(say, policy::Say::Ask(_));
-                    let envelope = node.wrap(Message::Policy(say.write()), as_place);
+                    let envelope = node.wrap_message(Message::Policy(say.write()), as_place);
                     self.effects.push(Effect::Say { to, envelope });
                 }
                 policy::Effect::Keep { generation, bytes } => {
@@ -148,8 +149,8 @@
     pub(super) fn carry_on(&mut self, now: Duration, effects: Vec<node::Effect>) {
         for effect in effects {
             match effect {
-                node::Effect::Say { to, envelope } => self.effects.push(Effect::Say { to, envelope }),
-                node::Effect::Room => self.room_changed = true,
+                node::Effect::Send { to, envelope } => self.effects.push(Effect::Say { to, envelope }),
+                node::Effect::HeadroomChanged => self.room_changed = true,
             }
         }
         self.tell_room(now);
@@ -164,8 +165,8 @@
                 let (permit, names) = (policy.permit.clone(), policy.names.clone());
                 Arc::new(Permitted { permit, names }) as Arc<dyn Permits>
             });
-            self.news.push_front(Event::Room(node.room(now).where_also(permitted)));
-            self.room_due = node.room_due(now);
+            self.news.push_front(Event::Room(node.headroom(now).where_also(permitted)));
+            self.room_due = node.headroom_due(now);
         }
         let policy = self.policy.as_ref().map(|policy| policy.node.due(now));
         self.fleet_due = policy.into_iter().chain([node.due(now)]).min();
@@ -175,7 +176,7 @@
         let node = self.fleet.as_ref()?;
         self.unsettled.contains(id, execution).then(|| Cancel {
             arrived: false,
-            within: node.unheard(),
+            within: node.max_unconfirmed_time(),
             awaited: true,
         })
     }
@@ -194,7 +195,7 @@
         let (workload, customer, mem_mb) = stmt.counts_as;
         let weight = self.threads.get(workload).copied().unwrap_or(1.0);
         let before = stmt.executions.len() as u32;
-        node.refused(now, &Claim { workload, customer, kind: "", weight, mem_mb, before });
+        node.statement_refused(now, &Claim { workload, customer, kind: "", weight, mem_mb, before });
         self.fleet_due = Some(node.due(now));
     }
 }
--- a/crates/gateway/src/reducer/io.rs
+++ b/crates/gateway/src/reducer/io.rs
@@ -188,7 +188,7 @@
     },
     /// To another part of the fleet.
     Say {
-        to: node::To,
+        to: node::Recipient,
         envelope: Envelope,
     },
 }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -22,7 +22,7 @@
 use bramblewharf_bodies::spool::{Disk, Folder, Threads};
 use bramblewharf_bodies::Keeper;
 use bramblewharf_fleet::predecessor::Predecessor;
-use bramblewharf_fleet::{node, Terms, Wrong};
+use bramblewharf_fleet::{node, FleetConfig, InjectedBug};
 use bramblewharf_site::Names;
 use slog::Logger;
 use std::cell::{Cell, RefCell};
@@ -103,7 +103,7 @@
     /// The clock of a gateway in a fleet.
     pub ticks: Option<Ticks>,
     /// A known mistake in what it does in a fleet, to see that checkers find it.
-    pub wrong: Option<Wrong>,
+    pub wrong: Option<InjectedBug>,
     pub wrong_policy: Option<bramblewharf_policy::Wrong>,
 }
 
@@ -534,7 +534,10 @@
         });
         let record_path = start.fleet.as_ref().and_then(|terms| terms.outstanding_file.clone());
         let part = start.fleet.map(|terms| {
-            let start = node::Start { terms: Terms { wrong, ..terms.start.terms }, ..terms.start };
+            let start = node::Start {
+                config: FleetConfig { injected_bug: wrong, ..terms.start.config },
+                ..terms.start
+            };
             let kept = record_path.as_deref().map(|path| record_file::read(path, &start, &log));
             let (predecessor, slots) =
                 kept.map_or((Predecessor::Unknown, None), |(p, slots)| (p, Some(slots)));
--- a/crates/gateway/src/unsettled.rs
+++ b/crates/gateway/src/unsettled.rs
@@ -96,8 +96,8 @@
                 writes.extend(self.is_over(&id, execution));
             }
         }
-        if node.counts_all() {
-            writes.extend(self.slots.as_mut().and_then(Slots::completed));
+        if node.counts_everything() {
+            writes.extend(self.slots.as_mut().and_then(Slots::mark_complete));
         }
         writes
     }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -83,13 +83,14 @@
     };
     let operators = |text: &str| -> Operators { operators::read(text, None).unwrap() };
     let terms = operators(&text).fleet_terms(&known(&customers)).unwrap().unwrap();
-    assert_eq!((terms.start.place, terms.start.seat, terms.start.terms.seats), (2, None, 3));
-    assert_eq!(terms.start.terms.run_out, Duration::from_secs(5));
+    assert_eq!((terms.start.member_id, terms.start.voter, terms.start.config.voters), (2, None, 3));
+    assert_eq!(terms.start.config.max_execution_time, Duration::from_secs(5));
     let budget = &terms.start.budgets[0];
     assert_eq!((budget.scope.customer, budget.measure), (Some(1), Measure::StatementsAtOnce));
     assert_eq!((budget.whole, budget.floor(4), budget.pool(4)), (40 * GRAIN, 2 * GRAIN, 32 * GRAIN));
     // The same file is the same table at every gateway; another figure is another.
-    let table = |text: &str| operators(text).fleet_terms(&known(&customers)).unwrap().unwrap().start.table;
+    let table =
+        |text: &str| operators(text).fleet_terms(&known(&customers)).unwrap().unwrap().start.table_digest;
     assert_eq!(table(&text), table(&text.replace("places   = 4", "places   = 4\n  place = 3\n  seat = 1")));
     assert_ne!(table(&text), table(&text.replace("whole    = 40", "whole    = 41")));
     let others = names(&["other"]);
--- a/crates/gateway/tests/reducer.rs
+++ b/crates/gateway/tests/reducer.rs
@@ -2,9 +2,9 @@
 
 use bramblewharf::interface::{EngineEntry, EngineState, Id, ListKind, NewStatement, Note, Outcome};
 use bramblewharf_budgets::{Budget, Measure, Scope, GRAIN};
-use bramblewharf_fleet::outstanding::{Life, Outstanding, Record, Slots};
+use bramblewharf_fleet::outstanding::{Outstanding, ProcessRun, Record, Slots};
 use bramblewharf_fleet::predecessor::Predecessor;
-use bramblewharf_fleet::{node, Incarnation, Terms};
+use bramblewharf_fleet::{node, FleetConfig, Incarnation};
 use bramblewharf_gateway::invariants::{Broken, Invariant};
 use bramblewharf_gateway::reducer::*;
 use bytes::Bytes;
@@ -407,26 +407,26 @@
 
 /// A fleet of one, all of whose budget is its floor.
 fn alone(scope: Scope, measure: Measure, whole: u64) -> node::Start {
-    let terms = Terms {
+    let config = FleetConfig {
         fleet: 1,
-        places: 1,
-        seats: 3,
+        max_members: 1,
+        voters: 3,
         lease: ms(1000),
         drift_percent: 1,
-        run_out: ms(2000),
-        engines_keep: KEEP,
-        wrong: None,
+        max_execution_time: ms(2000),
+        orphan_retention: KEEP,
+        injected_bug: None,
     };
     let (burst, name) = (ms(1000), "b".to_string());
     let budget =
         Budget { name, scope, measure, whole: whole * GRAIN, floor_percent: 100, quantum: GRAIN, burst };
     node::Start {
-        place: 0,
-        seat: None,
+        member_id: 0,
+        voter: None,
         incarnation: Incarnation(1),
-        terms,
+        config,
         budgets: vec![budget],
-        table: 1,
+        table_digest: 1,
         seed: 1,
     }
 }
@@ -633,7 +633,7 @@
 /// A process before this one left a record of what it had out.
 fn after_a_kill(predecessor: Predecessor, whole: u64) -> (Reducer, Vec<Effect>) {
     let start = alone(Scope::default(), Measure::StatementsAtOnce, whole);
-    let slots = Some(Slots::start(start.incarnation, start.table, 0, None));
+    let slots = Some(Slots::start(start.incarnation, start.table_digest, 0, None));
     let part = Part { start, predecessor, slots };
     let (site, _) = bramblewharf_site::read(&settings(true)).unwrap();
     let (mut reducer, mut effects) = Reducer::start_in(Some(part), None, site, 7, 99, START);
@@ -645,10 +645,16 @@
 }
 
 fn recorded(id: &str) -> Predecessor {
-    let life = Life { incarnation: Incarnation(7), after: None, complete: true, table: 1, boot: 0 };
-    let took = vec![(0, GRAIN)];
-    let outstanding = Outstanding { id: id.into(), execution: 0, engine: listed("a").address, took };
-    Predecessor::Recorded(Record { life, outstanding: vec![outstanding] })
+    let run = ProcessRun {
+        incarnation: Incarnation(7),
+        predecessor: None,
+        complete: true,
+        table_digest: 1,
+        boot_id: 0,
+    };
+    let demand = vec![(0, GRAIN)];
+    let outstanding = Outstanding { id: id.into(), execution: 0, engine: listed("a").address, demand };
+    Predecessor::Recorded(Record { run, outstanding: vec![outstanding] })
 }
 
 /// Guards against what a killed process sent being taken for over before its engine has shown that.
@@ -715,7 +721,10 @@
     let (mut r, _) = after_a_kill(Predecessor::Ended, 2);
     let from = START + ms(1000);
     let early = goes_on(&mut r, START, from);
-    assert!(early.iter().any(|effect| matches!(effect, Effect::Record(write) if write.at == 0)), "complete");
+    assert!(
+        early.iter().any(|effect| matches!(effect, Effect::Record(write) if write.offset == 0)),
+        "complete"
+    );
     let effects = r.step(from, statement("s", 1, 0, 900));
     let [Effect::Record(added), Effect::Start { .. }] = &effects[..] else { panic!("{effects:?}") };
     assert!(added.bytes.iter().any(|byte| *byte != 0));
@@ -725,5 +734,5 @@
         _ => None,
     });
     let removed = removed.expect("it is over");
-    assert_eq!((removed.at, removed.bytes.iter().all(|byte| *byte == 0)), (added.at, true));
+    assert_eq!((removed.offset, removed.bytes.iter().all(|byte| *byte == 0)), (added.offset, true));
 }
--- a/crates/policy/src/follower.rs
+++ b/crates/policy/src/follower.rs
@@ -5,7 +5,7 @@
 use crate::say::{Ask, Leave, Say};
 use crate::texts::Texts;
 use crate::{Phase, Terms};
-use bramblewharf_fleet::node::To;
+use bramblewharf_fleet::node::Recipient;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -110,7 +110,7 @@
         now: Duration,
     ) -> Follower {
         Follower {
-            seat: (place % u32::from(terms.fleet.seats.max(1))) as u8,
+            seat: (place % u32::from(terms.fleet.voters.max(1))) as u8,
             terms,
             number: incarnation >> 16,
             asked: None,
@@ -189,7 +189,7 @@
         }
         if self.asked.take().is_some() {
             self.counts.unanswered += 1;
-            self.seat = (self.seat + 1) % self.terms.fleet.seats.max(1);
+            self.seat = (self.seat + 1) % self.terms.fleet.voters.max(1);
         }
         self.number += 1;
         self.counts.asked += 1;
@@ -199,7 +199,7 @@
     }
 
     /// What a seat answered: true where what it decides by has changed.
-    pub fn heard(&mut self, now: Duration, from: u8, say: Say, texts: &mut Texts<To>) -> bool {
+    pub fn heard(&mut self, now: Duration, from: u8, say: Say, texts: &mut Texts<Recipient>) -> bool {
         self.look(now);
         let number = match &say {
             Say::Leave(leave) => leave.number,
@@ -215,8 +215,8 @@
             Say::NotNow { keeper, .. } => {
                 // Soon, at whoever is said to keep it.
                 self.next = now + self.terms.lease() / 16;
-                let other = (from + 1) % self.terms.fleet.seats.max(1);
-                self.seat = keeper.filter(|keeper| *keeper < self.terms.fleet.seats).unwrap_or(other);
+                let other = (from + 1) % self.terms.fleet.voters.max(1);
+                self.seat = keeper.filter(|keeper| *keeper < self.terms.fleet.voters).unwrap_or(other);
                 false
             }
             Say::Leave(leave) => {
@@ -228,17 +228,24 @@
         }
     }
 
-    fn given(&mut self, now: Duration, at: Duration, from: u8, leave: Leave, texts: &mut Texts<To>) -> bool {
+    fn given(
+        &mut self,
+        now: Duration,
+        at: Duration,
+        from: u8,
+        leave: Leave,
+        texts: &mut Texts<Recipient>,
+    ) -> bool {
         self.wants = leave.check.into_iter().chain(leave.next).chain([leave.now]).collect();
-        if let Some(check) = leave.check.filter(|check| texts.want(*check, To::Seat(from))) {
+        if let Some(check) = leave.check.filter(|check| texts.want(*check, Recipient::Voter(from))) {
             if self.verdict.as_ref().is_none_or(|(of, _)| *of != check) {
                 let why = texts.get(&check).and_then(|text| text.rules.as_ref().err().cloned());
                 self.verdict = Some((check, why.map(|why| why.chars().take(120).collect())));
                 self.next = now;
             }
         }
-        let here = texts.want(leave.now, To::Seat(from));
-        let next_here = leave.next.is_none_or(|next| texts.want(next, To::Seat(from)));
+        let here = texts.want(leave.now, Recipient::Voter(from));
+        let next_here = leave.next.is_none_or(|next| texts.want(next, Recipient::Voter(from)));
         let until = at + self.terms.lease();
         if !here || !next_here || now >= until || self.highest.is_some_and(|highest| leave.phase < highest) {
             self.counts.lacks += u64::from(!here || !next_here);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -51,7 +51,7 @@
 /// What all gateways of the fleet must be told alike.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub fleet: bramblewharf_fleet::Terms,
+    pub fleet: bramblewharf_fleet::FleetConfig,
     pub wrong: Option<Wrong>,
 }
 
@@ -62,7 +62,7 @@
 
     /// How long after it was given leave to decide may yet be used, a send that was decided in time being on its way.
     pub fn until_over(&self) -> Duration {
-        self.fleet.longer(self.fleet.lease + self.fleet.on_its_way())
+        self.fleet.with_clock_drift(self.fleet.lease + self.fleet.max_send_delay())
     }
 
     pub fn is_wrong(&self, wrong: Wrong) -> bool {
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -9,8 +9,8 @@
 use crate::store::Kept;
 use crate::texts::Texts;
 use crate::{Check, Phase, Terms};
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::seat::Right;
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::voter::LeaderLease;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Say {
-        to: To,
+        to: Recipient,
         say: Say,
     },
     /// To be written whole, and `kept` called with how that went.
@@ -72,14 +72,14 @@
     terms: Terms,
     seat: Option<u8>,
     own: Digest,
-    texts: Texts<To>,
+    texts: Texts<Recipient>,
     follower: Follower,
     register: Option<Register>,
     steward: Option<Steward>,
     /// What was kept last, and what waits for it.
     generation: u64,
     kept: Option<Kept>,
-    waits: Vec<(u64, To, Say)>,
+    waits: Vec<(u64, Recipient, Say)>,
     /// What it would go on by alone, by write that has not ended.
     files: Vec<(u64, Vec<Digest>)>,
     /// Texts of the last write that this seat could not take without them: kept until that comes again.
@@ -93,7 +93,7 @@
     /// None where its own file can't be read as a policy by this build: a bad configuration is not begun with.
     pub fn start(start: Start, now: Duration) -> Result<Node, String> {
         let Start { place, seat, terms, check, own, file, incarnation, wait, start_alone } = start;
-        let mut texts = Texts::new(check, seat.map(To::Seat));
+        let mut texts = Texts::new(check, seat.map(Recipient::Voter));
         let own = texts.add(own);
         if let Some(Err(why)) = texts.get(&own).map(|text| text.rules.clone()) {
             return Err(why);
@@ -141,7 +141,7 @@
     }
 
     /// `right`: to keep, as the seats agreed.
-    pub fn tick(&mut self, now: Duration, right: Option<Right>) -> Vec<Effect> {
+    pub fn tick(&mut self, now: Duration, right: Option<LeaderLease>) -> Vec<Effect> {
         self.ticked = now;
         let mut effects = Vec::new();
         self.keep(now, right, &mut effects);
@@ -155,7 +155,7 @@
         effects
     }
 
-    fn keep(&mut self, now: Duration, right: Option<Right>, effects: &mut Vec<Effect>) {
+    fn keep(&mut self, now: Duration, right: Option<LeaderLease>, effects: &mut Vec<Effect>) {
         let right = right.filter(|right| now < right.until);
         if self
             .steward
@@ -179,8 +179,8 @@
     /// The own seat is asked as any other is, without the way.
     fn ask_seat(&mut self, now: Duration, seat: u8, say: Say, effects: &mut Vec<Effect>) {
         match self.seat == Some(seat) {
-            true => self.heard_by_seat(now, To::Seat(seat), None, say, effects),
-            false => effects.push(Effect::Say { to: To::Seat(seat), say }),
+            true => self.heard_by_seat(now, Recipient::Voter(seat), None, say, effects),
+            false => effects.push(Effect::Say { to: Recipient::Voter(seat), say }),
         }
     }
 
@@ -188,10 +188,10 @@
     pub fn heard(
         &mut self,
         now: Duration,
-        from: To,
+        from: Recipient,
         place: Option<u32>,
         say: Say,
-        right: Option<Right>,
+        right: Option<LeaderLease>,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         // By the right as it is now.
@@ -204,7 +204,7 @@
     fn heard_by_seat(
         &mut self,
         now: Duration,
-        from: To,
+        from: Recipient,
         place: Option<u32>,
         say: Say,
         effects: &mut Vec<Effect>,
@@ -237,21 +237,21 @@
             }
             Say::Has { .. } | Say::Written(_) | Say::Old { .. } => self.tell_steward(from, say),
             Say::Ask(ask) => {
-                let place = place.or((Some(from) == self.seat.map(To::Seat)).then_some(self.place));
+                let place = place.or((Some(from) == self.seat.map(Recipient::Voter)).then_some(self.place));
                 let Some(place) = place.filter(|_| self.seat.is_some()) else { return };
                 let answer = match &mut self.steward {
                     Some(steward) => steward.ask(place, &ask),
                     None => Some(Say::NotNow { number: ask.number, keeper: None }),
                 };
                 if let Some(say) = answer {
-                    match Some(from) == self.seat.map(To::Seat) {
+                    match Some(from) == self.seat.map(Recipient::Voter) {
                         true => self.tell_follower(now, self.seat.unwrap_or(0), say, effects),
                         false => effects.push(Effect::Say { to: from, say }),
                     }
                 }
             }
             Say::Leave(_) | Say::NotNow { .. } => {
-                let To::Seat(seat) = from else { return };
+                let Recipient::Voter(seat) = from else { return };
                 self.tell_follower(now, seat, say, effects);
             }
             Say::Offer { digest, wait_ms } => {
@@ -272,14 +272,14 @@
         }
     }
 
-    fn tell_stands(&self, to: To, effects: &mut Vec<Effect>) {
+    fn tell_stands(&self, to: Recipient, effects: &mut Vec<Effect>) {
         if let Some(steward) = self.steward.as_ref().filter(|steward| steward.serves()) {
             effects.push(Effect::Say { to, say: Say::Stands(steward.stands(&self.texts)) });
         }
     }
 
-    fn tell_steward(&mut self, from: To, say: Say) {
-        let To::Seat(seat) = from else { return };
+    fn tell_steward(&mut self, from: Recipient, say: Say) {
+        let Recipient::Voter(seat) = from else { return };
         if let Some(steward) = &mut self.steward {
             steward.answered(seat, say);
         }
@@ -296,7 +296,7 @@
     }
 
     /// Says it once what it rests on is on the disk.
-    fn after_keeping(&mut self, to: To, say: Say, effects: &mut Vec<Effect>) {
+    fn after_keeping(&mut self, to: Recipient, say: Say, effects: &mut Vec<Effect>) {
         if let Say::Old { .. } = say {
             return self.say_now(to, say, effects);
         }
@@ -307,8 +307,8 @@
         self.waits.push((self.generation, to, say));
     }
 
-    fn say_now(&mut self, to: To, say: Say, effects: &mut Vec<Effect>) {
-        match Some(to) == self.seat.map(To::Seat) {
+    fn say_now(&mut self, to: Recipient, say: Say, effects: &mut Vec<Effect>) {
+        match Some(to) == self.seat.map(Recipient::Voter) {
             true => self.tell_steward(to, say),
             false => effects.push(Effect::Say { to, say }),
         }
--- a/crates/policy/src/register.rs
+++ b/crates/policy/src/register.rs
@@ -6,7 +6,7 @@
 use crate::revision::Digest;
 use crate::say::Say;
 use crate::{Phase, Terms, Wrong};
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::voter::Ballot;
 use serde::{Deserialize, Serialize};
 
 /// Which write of which keeper.
--- a/crates/policy/src/say.rs
+++ b/crates/policy/src/say.rs
@@ -3,7 +3,7 @@
 use crate::register::{Entry, Stamp};
 use crate::revision::Digest;
 use crate::Phase;
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::voter::Ballot;
 use serde::{Deserialize, Serialize};
 
 /// Bytes of a text in one message.
--- a/crates/policy/src/steward.rs
+++ b/crates/policy/src/steward.rs
@@ -11,8 +11,8 @@
 use crate::texts::Texts;
 use crate::{Phase, Terms, Wrong};
 use bramblewharf_budgets::Patience;
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::voter::Ballot;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -135,7 +135,12 @@
     }
 
     /// What is to be said to seats now. A clock that went back costs it everything: false.
-    pub fn tick(&mut self, now: Duration, texts: &mut Texts<To>, first: Digest) -> Option<Vec<(u8, Say)>> {
+    pub fn tick(
+        &mut self,
+        now: Duration,
+        texts: &mut Texts<Recipient>,
+        first: Digest,
+    ) -> Option<Vec<(u8, Say)>> {
         self.clock.look(now, false).ok()?;
         let now = self.clock.now();
         let mut say = Vec::new();
@@ -150,7 +155,7 @@
             }
             due
         };
-        let seats = 0..self.terms.fleet.seats;
+        let seats = 0..self.terms.fleet.voters;
         match &mut self.state {
             State::Reads { answers, asked } => {
                 if due(asked) {
@@ -192,7 +197,7 @@
     }
 
     /// Enough seats have said what they know: the latest of it is in force, and is written again under this term.
-    fn find_out(&mut self, texts: &mut Texts<To>, first: Digest) {
+    fn find_out(&mut self, texts: &mut Texts<Recipient>, first: Digest) {
         let State::Reads { answers, .. } = &self.state else { return };
         let enough = match self.terms.is_wrong(Wrong::OwnWordOnly) {
             true => answers.contains_key(&self.own),
@@ -200,7 +205,7 @@
                 let knowing = answers.values().filter(|(knows, _)| *knows).count();
                 let nothing = answers.values().all(|(_, stored)| stored.is_none());
                 // A fleet's very first start: nobody has anything, and all are there to say so.
-                let fresh = nothing && answers.len() == usize::from(self.terms.fleet.seats);
+                let fresh = nothing && answers.len() == usize::from(self.terms.fleet.voters);
                 knowing >= self.terms.fleet.majority() || fresh
             }
         };
@@ -211,8 +216,8 @@
         let latest =
             latest.max_by_key(|(_, (stamp, _))| *stamp).map(|(seat, (_, entry))| (seat, entry.clone()));
         let (from, entry) = match latest {
-            Some((seat, entry)) => (To::Seat(seat), entry),
-            None => (To::Seat(self.own), Entry { now: first, ..Entry::default() }),
+            Some((seat, entry)) => (Recipient::Voter(seat), entry),
+            None => (Recipient::Voter(self.own), Entry { now: first, ..Entry::default() }),
         };
         let missing: Vec<Digest> = entry.digests().filter(|digest| !texts.want(*digest, from)).collect();
         if missing.is_empty() {
@@ -228,7 +233,7 @@
 
     /// A gateway asks for leave to decide.
     pub fn ask(&mut self, place: u32, ask: &Ask) -> Option<Say> {
-        if place >= self.terms.fleet.places {
+        if place >= self.terms.fleet.max_members {
             return None;
         }
         if !self.serves() {
@@ -274,7 +279,7 @@
         // What a keeper before this one gave is known of a place once it has said what it decides by.
         let unknown = now < self.began + self.terms.until_over() && {
             let past = self.places.values().filter(|place| place.says.is_some_and(|says| says >= phase));
-            (past.count() as u64) < u64::from(self.terms.fleet.places)
+            (past.count() as u64) < u64::from(self.terms.fleet.max_members)
         };
         let granted = |place: &Place| place.granted.iter().any(|(of, until)| *of < phase && now < *until);
         unknown || self.places.values().any(granted)
@@ -326,7 +331,7 @@
                 None => loners,
             }
         };
-        (0..self.terms.fleet.places).filter(waits).take(NAMED).collect()
+        (0..self.terms.fleet.max_members).filter(waits).take(NAMED).collect()
     }
 
     /// Revisions that a gateway may be acting by alone: those of places that are not in, and what the register says.
@@ -340,7 +345,7 @@
     }
 
     /// Takes a proposal on to its first step, or withdraws it.
-    fn weigh(&mut self, texts: &mut Texts<To>) {
+    fn weigh(&mut self, texts: &mut Texts<Recipient>) {
         let Some(proposal) = self.proposal.as_ref().filter(|_| matches!(self.state, State::Serves)) else {
             return;
         };
@@ -399,7 +404,7 @@
     }
 
     /// Whether a revision permits all that a gateway may do alone by an earlier one.
-    fn covers(&self, texts: &Texts<To>, later: &Digest, earlier: &Digest) -> Result<(), String> {
+    fn covers(&self, texts: &Texts<Recipient>, later: &Digest, earlier: &Digest) -> Result<(), String> {
         if self.terms.is_wrong(Wrong::LonersUncounted) {
             return Ok(());
         }
@@ -410,7 +415,7 @@
     }
 
     /// Places that may yet do alone what the later one forbids: they were not told of it, or have not kept it.
-    fn left_behind(&self, texts: &Texts<To>, next: Digest) -> Vec<u32> {
+    fn left_behind(&self, texts: &Texts<Recipient>, next: Digest) -> Vec<u32> {
         let unheard = self.entry.loose.iter().chain([&self.entry.now]);
         let unheard = unheard.map(|earlier| self.covers(texts, &next, earlier)).all(|covers| covers.is_ok());
         let behind = |place: &u32| match self.places.get(place) {
@@ -420,11 +425,11 @@
             }
             _ => !unheard,
         };
-        (0..self.terms.fleet.places).filter(behind).take(NAMED).collect()
+        (0..self.terms.fleet.max_members).filter(behind).take(NAMED).collect()
     }
 
     /// From both to the later one alone, once nobody can decide by the earlier one alone.
-    fn step(&mut self, texts: &Texts<To>) {
+    fn step(&mut self, texts: &Texts<Recipient>) {
         if !matches!(self.state, State::Serves) {
             return;
         }
@@ -449,7 +454,7 @@
             return self.write(entry, true);
         }
         // Everybody acts by what is in force: nobody is left behind.
-        let all = self.places.len() as u64 == u64::from(self.terms.fleet.places);
+        let all = self.places.len() as u64 == u64::from(self.terms.fleet.max_members);
         let here = |place: &Place| place.says == Some(phase) && place.falls_back == [self.entry.now];
         if !phase.is_both() && !self.entry.loose.is_empty() && all && self.places.values().all(here) {
             let entry = Entry { loose: Vec::new(), ..self.entry.clone() };
@@ -457,7 +462,7 @@
         }
     }
 
-    pub fn stands(&self, texts: &Texts<To>) -> Stands {
+    pub fn stands(&self, texts: &Texts<Recipient>) -> Stands {
         let proposal = self.proposal.as_ref();
         Stands {
             keeper: Some(self.own),
--- a/crates/policy/tests/fleets.rs
+++ b/crates/policy/tests/fleets.rs
@@ -2,8 +2,8 @@
 //! delays and cuts, processes that stop and go on, and disks that fail, forget and put old files back. What must hold is looked at
 //! in the world, after each step.
 
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::seat::{Ballot, Right};
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::voter::{Ballot, LeaderLease};
 use bramblewharf_fleet::Incarnation;
 use bramblewharf_policy::node::{Effect, Node, Start};
 use bramblewharf_policy::revision::Digest;
@@ -68,7 +68,7 @@
     mute: Duration,
     deaf: Duration,
     disk_fails: Duration,
-    inbox: Vec<(Duration, To, Option<u32>, Say)>,
+    inbox: Vec<(Duration, Recipient, Option<u32>, Say)>,
 }
 
 struct World {
@@ -78,7 +78,7 @@
     gateways: Vec<Gateway>,
     lossy: (u32, Duration),
     /// Who keeps, since and until when; terms only grow.
-    keeper: Option<(usize, Right)>,
+    keeper: Option<(usize, LeaderLease)>,
     round: u64,
     /// Texts that the operator proposes, and whom it offered them to.
     offers: Vec<Revision>,
@@ -99,15 +99,15 @@
 
 impl World {
     fn new(gateways: usize, seats: u8, wrong: Option<Wrong>, seed: u64) -> World {
-        let fleet = bramblewharf_fleet::Terms {
+        let fleet = bramblewharf_fleet::FleetConfig {
             fleet: 1,
-            places: gateways as u32,
-            seats,
+            max_members: gateways as u32,
+            voters: seats,
             lease: 1000 * MS,
             drift_percent: 1,
-            run_out: 500 * MS,
-            engines_keep: 200 * MS,
-            wrong: None,
+            max_execution_time: 500 * MS,
+            orphan_retention: 200 * MS,
+            injected_bug: None,
         };
         let gateway = || Gateway {
             node: None,
@@ -149,7 +149,7 @@
     }
 
     fn seats(&self) -> usize {
-        usize::from(self.terms.fleet.seats)
+        usize::from(self.terms.fleet.voters)
     }
 
     fn start(&mut self, at: usize) {
@@ -174,7 +174,7 @@
         gateway.node = Some(Node::start(start, self.now).unwrap());
     }
 
-    fn right(&self, at: usize) -> Option<Right> {
+    fn right(&self, at: usize) -> Option<LeaderLease> {
         self.keeper.filter(|(keeper, right)| *keeper == at && self.now < right.until).map(|(_, right)| right)
     }
 
@@ -188,7 +188,7 @@
         match self.keeper {
             Some((at, right)) if self.now < right.until => {
                 if most && at < self.seats() && able(self, at) && self.now + 600 * MS > right.until {
-                    let right = Right { until: self.now + 1000 * MS, ..right };
+                    let right = LeaderLease { until: self.now + 1000 * MS, ..right };
                     self.keeper = Some((at, right));
                 }
             }
@@ -198,10 +198,10 @@
                 self.round += 1;
                 let term = Ballot {
                     round: self.round,
-                    seat: at as u8,
+                    voter: at as u8,
                     incarnation: Incarnation(self.now.as_nanos() as u64),
                 };
-                self.keeper = Some((at, Right { term, until: self.now + 1000 * MS }));
+                self.keeper = Some((at, LeaderLease { term, until: self.now + 1000 * MS }));
             }
             _ => self.keeper = None,
         }
@@ -223,12 +223,12 @@
                 }
                 Effect::Say { to, say } => {
                     let to = match to {
-                        To::Seat(seat) => usize::from(seat),
-                        To::Address(address) if address.port() >= OPERATOR => {
+                        Recipient::Voter(seat) => usize::from(seat),
+                        Recipient::Address(address) if address.port() >= OPERATOR => {
                             self.operator(at, say);
                             continue;
                         }
-                        To::Address(address) => usize::from(address.port()) - 1,
+                        Recipient::Address(address) => usize::from(address.port()) - 1,
                     };
                     self.send(at, to, say);
                 }
@@ -251,8 +251,8 @@
         let as_seat = from < self.seats();
         let asks = matches!(say, Say::Ask(_));
         let from_to = match as_seat && !asks {
-            true => To::Seat(from as u8),
-            false => To::Address(address(from)),
+            true => Recipient::Voter(from as u8),
+            false => Recipient::Address(address(from)),
         };
         let copies = if self.now < self.lossy.1 && self.rng.generate_range(0..4) == 0 { 2 } else { 1 };
         for _ in 0..copies {
@@ -271,7 +271,7 @@
             let at = (from as usize).min(bytes.len());
             let end = (at + bramblewharf_policy::say::PIECE).min(bytes.len());
             let (whole, bytes) = (bytes.len() as u32, bytes[at..end].to_vec());
-            let from_to = To::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
+            let from_to = Recipient::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
             self.gateways[of].inbox.push((
                 self.now + MS,
                 from_to,
@@ -289,7 +289,7 @@
     }
 
     fn offer(&mut self, digest: Digest, wait_ms: u64) {
-        let from = To::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
+        let from = Recipient::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
         for seat in 0..self.seats() {
             self.gateways[seat].inbox.push((self.now + MS, from, None, Say::Offer { digest, wait_ms }));
         }
--- a/crates/rig/src/agreed.rs
+++ b/crates/rig/src/agreed.rs
@@ -2,9 +2,9 @@
 //! around them. Sizes and costs are looked at here; what must hold is checked by `simulated` and in the policy's own tests.
 
 use bramblewharf_budgets::{Budget, Claim, Measure, Scope, GRAIN};
-use bramblewharf_fleet::node::{self, To};
+use bramblewharf_fleet::node::{self, Recipient};
 use bramblewharf_fleet::wire::{Message, Party};
-use bramblewharf_fleet::{Envelope, Incarnation, Key, Terms};
+use bramblewharf_fleet::{Envelope, FleetConfig, Incarnation, Key};
 use bramblewharf_policy::say::PIECE;
 use bramblewharf_policy::{Check, Digest, Kept, Limits, Node as Policy, Revision, Rules, Say};
 use nanorand::{Rng, WyRand};
@@ -114,7 +114,7 @@
 pub struct World {
     pub now: Duration,
     of: Agreed,
-    terms: Terms,
+    terms: FleetConfig,
     check: Check,
     key: Key,
     rng: WyRand,
@@ -171,15 +171,15 @@
 
 impl World {
     pub fn new(of: Agreed, first: &str) -> World {
-        let terms = Terms {
+        let terms = FleetConfig {
             fleet: 1,
-            places: of.gateways as u32,
-            seats: of.seats,
+            max_members: of.gateways as u32,
+            voters: of.seats,
             lease: of.lease,
             drift_percent: 1,
-            run_out: 1300 * MS,
-            engines_keep: 500 * MS,
-            wrong: None,
+            max_execution_time: 1300 * MS,
+            orphan_retention: 500 * MS,
+            injected_bug: None,
         };
         let gateway = || Gateway {
             leave: None,
@@ -201,7 +201,7 @@
         let mut world = World {
             now: 1000 * Duration::from_secs(1),
             check: check(),
-            key: Key::read(b"a key of sixteen bytes").expect("long enough"),
+            key: Key::derive(b"a key of sixteen bytes").expect("long enough"),
             rng: WyRand::new_seed(of.seed),
             queue: BTreeMap::new(),
             order: 0,
@@ -277,20 +277,20 @@
         let seat = u8::try_from(at).ok().filter(|seat| *seat < self.of.seats);
         let mut leave = node::Node::start(
             node::Start {
-                place: at as u32,
-                seat,
+                member_id: at as u32,
+                voter: seat,
                 incarnation: Incarnation(incarnation),
-                terms: self.terms.clone(),
+                config: self.terms.clone(),
                 budgets: vec![budget],
-                table: 1,
+                table_digest: 1,
                 seed,
             },
             now,
         );
         // What it has in use for as long as it runs, so that it needs some.
         let claim = Claim { workload: 0, customer: None, kind: "", weight: 1.0, mem_mb: 0.0, before: 0 };
-        let took = leave.room(now).take(&claim);
-        leave.took(now, &took);
+        let took = leave.headroom(now).take(&claim);
+        leave.execution_started(now, &took);
         gateway.leave = Some(leave);
         gateway.policy = self.offers.first().and_then(|first| {
             let start = bramblewharf_policy::Start {
@@ -350,7 +350,7 @@
                 }
                 gateway.traffic.heard += 1;
                 gateway.traffic.heard_bytes += bytes;
-                if let (Message::Give(_), Party::Seat(seat)) = (&envelope.message, envelope.from) {
+                if let (Message::GrantReply(_), Party::Voter(seat)) = (&envelope.message, envelope.from) {
                     gateway.given_by = Some((seat, self.now));
                 }
                 self.step(to, Some((*envelope, from)));
@@ -401,7 +401,7 @@
         let envelope =
             Envelope { fleet: self.terms.fleet, from: Party::Tool, incarnation, number: 1, message };
         let from = SocketAddr::from((Ipv4Addr::LOCALHOST, TOOL));
-        let Some(bytes) = envelope.write(&self.key) else { return };
+        let Some(bytes) = envelope.encode(&self.key) else { return };
         self.carry(self.tool, to, from, envelope, bytes.len() as u64);
     }
 
@@ -445,19 +445,19 @@
         match heard {
             Some((Envelope { from: party, message: Message::Policy(bytes), .. }, from)) => {
                 let (to, place) = match party {
-                    Party::Seat(seat) => (To::Seat(seat), None),
-                    Party::Place(place) => (To::Address(from), Some(place)),
-                    Party::Tool => (To::Address(from), None),
+                    Party::Voter(seat) => (Recipient::Voter(seat), None),
+                    Party::Member(place) => (Recipient::Address(from), Some(place)),
+                    Party::Tool => (Recipient::Address(from), None),
                 };
                 if let (Some(policy), Some(say)) = (&mut gateway.policy, Say::read(&bytes)) {
-                    of_policy = policy.heard(now, to, place, say, leave.right(now));
+                    of_policy = policy.heard(now, to, place, say, leave.leader_lease(now));
                 }
             }
-            Some((envelope, from)) => effects = leave.heard(now, envelope, from),
+            Some((envelope, from)) => effects = leave.handle_message(now, envelope, from),
             None => {
                 effects = leave.tick(now);
                 if let Some(policy) = gateway.policy.as_mut().filter(|policy| now >= policy.due(now)) {
-                    of_policy = policy.tick(now, leave.right(now));
+                    of_policy = policy.tick(now, leave.leader_lease(now));
                 }
             }
         }
@@ -465,7 +465,7 @@
             gateway.traffic.machines += (thread_time() - began).saturating_sub(self.look);
         }
         for effect in effects {
-            if let node::Effect::Say { to, envelope } = effect {
+            if let node::Effect::Send { to, envelope } = effect {
                 self.say(at, to, envelope);
             }
         }
@@ -480,7 +480,7 @@
                     let as_place = matches!(say, Say::Ask(_));
                     let message = Message::Policy(say.write());
                     let envelope =
-                        self.gateways[at].leave.as_mut().map(|leave| leave.wrap(message, as_place));
+                        self.gateways[at].leave.as_mut().map(|leave| leave.wrap_message(message, as_place));
                     if let Some(envelope) = envelope {
                         self.say(at, to, envelope);
                     }
@@ -509,10 +509,10 @@
         }
     }
 
-    fn say(&mut self, from: usize, to: To, envelope: Envelope) {
+    fn say(&mut self, from: usize, to: Recipient, envelope: Envelope) {
         let timed = self.timed(from);
         let began = timed.then(thread_time);
-        let Some(bytes) = envelope.write(&self.key) else { return };
+        let Some(bytes) = envelope.encode(&self.key) else { return };
         let took = began.map(|began| (thread_time() - began).saturating_sub(self.look));
         let length = bytes.len() as u64;
         let now = self.now;
@@ -529,13 +529,15 @@
         gateway.traffic.said += 1;
         gateway.traffic.said_bytes += length;
         let to = match to {
-            To::Seat(seat) => usize::from(seat),
-            To::Address(address) if address.port() == TOOL => return self.heard_by_tool(from, &envelope),
-            To::Address(address) => usize::from(address.port()) - 1,
+            Recipient::Voter(seat) => usize::from(seat),
+            Recipient::Address(address) if address.port() == TOOL => {
+                return self.heard_by_tool(from, &envelope)
+            }
+            Recipient::Address(address) => usize::from(address.port()) - 1,
         };
         if self.timed(to) {
             let began = thread_time();
-            std::hint::black_box(Envelope::read(&bytes, &self.key, self.terms.fleet));
+            std::hint::black_box(Envelope::decode(&bytes, &self.key, self.terms.fleet));
             self.gateways[to].traffic.codec += (thread_time() - began).saturating_sub(self.look);
         }
         self.carry(from, to, address(from), envelope, length);
@@ -564,7 +566,7 @@
         let seats = self.reached().take_while(|at| *at < usize::from(self.of.seats));
         seats
             .into_iter()
-            .find(|at| self.gateways[*at].leave.as_ref().is_some_and(|node| node.keeps(self.now)))
+            .find(|at| self.gateways[*at].leave.as_ref().is_some_and(|node| node.is_leader(self.now)))
     }
 
     pub fn is_there(&self, at: usize) -> bool {
@@ -578,7 +580,7 @@
         for at in reached {
             let gateway = &mut self.gateways[at];
             let Some(node) = &mut gateway.leave else { continue };
-            leave += usize::from(!node.status(now).has_leave);
+            leave += usize::from(!node.status(now).has_grant);
             policy += usize::from(gateway.policy.as_ref().is_some_and(|policy| policy.phase(now).is_none()));
         }
         (leave, policy)
@@ -602,7 +604,7 @@
         let now = self.now;
         let keeper = self.keeper();
         let leave = keeper.and_then(|at| self.gateways[at].leave.as_mut());
-        leave.is_none_or(|leave| leave.status(now).keeper.is_none_or(|keeper| keeper.waits_out))
+        leave.is_none_or(|leave| leave.status(now).leader.is_none_or(|keeper| keeper.is_recovering))
     }
 
     /// What whoever keeps says of the policy: the phase, what is in force, how the last proposal ended, whom one waits for.
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,6 +1,6 @@
 //! Campaigns against fleets: many plans of faults, and the smallest that breaks something.
 
-use bramblewharf_fleet::Wrong;
+use bramblewharf_fleet::InjectedBug;
 use bramblewharf_gateway::{cli, machine_time, policy_cli, Ports};
 use bramblewharf_rig::campaign;
 use bramblewharf_rig::counted::Counting;
@@ -193,10 +193,10 @@
     let wrong_policy =
         matches!(wrong, Some(Mistake::SkipsBoth)).then_some(bramblewharf_policy::Wrong::SkipsBoth);
     let wrong = wrong.and_then(|wrong| match wrong {
-        Mistake::GivesAnewAtOnce => Some(Wrong::GivesAnewAtOnce),
-        Mistake::NoWaitingOut => Some(Wrong::NoWaitingOut),
-        Mistake::FreeAtTheKill => Some(Wrong::FreeAtTheKill),
-        Mistake::SettledUnheard => Some(Wrong::SettledUnheard),
+        Mistake::GivesAnewAtOnce => Some(InjectedBug::ReassignsSuspectGrants),
+        Mistake::NoWaitingOut => Some(InjectedBug::NoRecoveryPeriod),
+        Mistake::FreeAtTheKill => Some(InjectedBug::FreesKilledProcessGrant),
+        Mistake::SettledUnheard => Some(InjectedBug::AssumesPredecessorEnded),
         Mistake::SkipsBoth => None,
     });
     let ticks = (fast != 0).then(|| Rc::new(ticks) as _);
--- a/crates/rig/src/scale/control.rs
+++ b/crates/rig/src/scale/control.rs
@@ -4,9 +4,9 @@
 use super::report::Table;
 use super::room;
 use crate::agreed::{revision, Agreed, Traffic, World, FIRST, FIRST_CLOSED, HEADERS, REGIONS};
-use bramblewharf_fleet::seat::Ballot;
-use bramblewharf_fleet::wire::{Ask, Message};
-use bramblewharf_fleet::{Incarnation, Keeper, Terms};
+use bramblewharf_fleet::voter::Ballot;
+use bramblewharf_fleet::wire::{GrantRequest, Message};
+use bramblewharf_fleet::{FleetConfig, Incarnation, Leader};
 use rayon::prelude::*;
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -447,28 +447,36 @@
         let text = std::fs::read_to_string("/proc/self/statm").ok()?;
         text.split_whitespace().nth(1)?.parse::<u64>().ok().map(|pages| pages * 4096)
     };
-    let terms = Terms {
+    let terms = FleetConfig {
         fleet: 1,
-        places: gateways as u32,
-        seats: 9,
+        max_members: gateways as u32,
+        voters: 9,
         lease: 2 * S,
         drift_percent: 1,
-        run_out: S,
-        engines_keep: S,
-        wrong: None,
+        max_execution_time: S,
+        orphan_retention: S,
+        injected_bug: None,
     };
     let budgets = vec![bramblewharf_budgets::Budget::engines()];
     let books = (200_000 / gateways.max(1)).max(1);
     let before = resident()?;
     let mut all = Vec::new();
     for seed in 0..books as u64 {
-        let term = Ballot { round: 1, seat: 0, incarnation: Incarnation(1) };
-        let mut keeper = Keeper::start(term, terms.clone(), budgets.clone(), 1, seed, S);
+        let term = Ballot { round: 1, voter: 0, incarnation: Incarnation(1) };
+        let mut keeper = Leader::start(term, terms.clone(), budgets.clone(), 1, seed, S);
         for place in 0..gateways as u32 {
-            let ask = |session| Ask { session, table: 1, up_ms: 60_000, holds: vec![0], needs: vec![1000] };
+            let ask = |session| GrantRequest {
+                session,
+                table_digest: 1,
+                uptime_ms: 60_000,
+                holds: vec![0],
+                needs: vec![1000],
+            };
             let incarnation = Incarnation(u64::from(place) + 10);
-            if let Some(Message::Session { session, .. }) = keeper.ask(place, incarnation, 1, ask(0)) {
-                let _ = keeper.ask(place, incarnation, 2, ask(session));
+            if let Some(Message::Session { session, .. }) =
+                keeper.handle_request(place, incarnation, 1, ask(0))
+            {
+                let _ = keeper.handle_request(place, incarnation, 2, ask(session));
             }
         }
         all.push(keeper);
--- a/crates/rig/src/scale/hollow/fleet.rs
+++ b/crates/rig/src/scale/hollow/fleet.rs
@@ -204,7 +204,7 @@
             seats: fleet[..plan.seats].to_vec(),
             peers: peers.clone(),
             key: terms.key.clone(),
-            fleet: terms.start.terms.fleet,
+            fleet: terms.start.config.fleet,
             rate: AtomicU64::new(0),
             looks: AtomicBool::new(true),
             over: AtomicBool::new(false),
@@ -401,8 +401,8 @@
     let seat = (at < plan.seats).then_some(at as u8);
     let incarnation: u64 = rng.generate();
     let part = bramblewharf_fleet::node::Start {
-        place: at as u32,
-        seat,
+        member_id: at as u32,
+        voter: seat,
         incarnation: Incarnation(incarnation),
         seed: rng.generate(),
         ..terms.start
--- a/crates/rig/src/scale/hollow/gateway.rs
+++ b/crates/rig/src/scale/hollow/gateway.rs
@@ -2,8 +2,8 @@
 
 use super::fleet::Shared;
 use bramblewharf::interface::{Id, ListKind, NewStatement, Outcome};
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::wire::{Message, LONGEST};
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::wire::{Message, MAX_DATAGRAM_BYTES};
 use bramblewharf_fleet::{node, Envelope};
 use bramblewharf_gateway::reducer::{
     AfterCancel, Answer, Effect, Ending, Input, Listed, Parcel, Reducer, Taken, Text,
@@ -40,8 +40,11 @@
 
 fn kind(message: &Message) -> usize {
     match message {
-        Message::Ask(_) | Message::Leaving { .. } => 0,
-        Message::Give(_) | Message::Elsewhere { .. } | Message::Session { .. } | Message::Differs { .. } => 1,
+        Message::GrantRequest(_) | Message::Leaving { .. } => 0,
+        Message::GrantReply(_)
+        | Message::NotLeader { .. }
+        | Message::Session { .. }
+        | Message::TableMismatch { .. } => 1,
         Message::Policy(bytes) if matches!(Say::read(bytes), Some(Say::Stands(_))) => TO_TOOL,
         Message::Policy(_) => POLICY,
         _ => 2,
@@ -203,12 +206,12 @@
         }
     }
 
-    fn say(&mut self, to: &To, envelope: &Envelope) {
+    fn say(&mut self, to: &Recipient, envelope: &Envelope) {
         let address = match to {
-            To::Seat(seat) => self.shared.seats.get(usize::from(*seat)).copied(),
-            To::Address(address) => Some(*address),
+            Recipient::Voter(seat) => self.shared.seats.get(usize::from(*seat)).copied(),
+            Recipient::Address(address) => Some(*address),
         };
-        let (Some(address), Some(bytes)) = (address, envelope.write(&self.shared.key)) else { return };
+        let (Some(address), Some(bytes)) = (address, envelope.encode(&self.shared.key)) else { return };
         let now = machine_time();
         if now >= self.since.0 + Duration::from_secs(1) {
             self.since = (now, 0);
@@ -232,7 +235,7 @@
 
     fn heard(&mut self, bytes: &[u8], from: SocketAddr) {
         if self.arrives(bytes) {
-            match Envelope::read(bytes, &self.shared.key, self.shared.fleet) {
+            match Envelope::decode(bytes, &self.shared.key, self.shared.fleet) {
                 Some(envelope) => self.input(Input::Fleet(envelope, from)),
                 None => add(&self.seen().passed_over, 1),
             }
@@ -331,11 +334,11 @@
         let policy = self.reducer.policy().map(|policy| policy.status(now));
         let Some(status) = self.reducer.fleet().map(|node| node.status(now)) else { return };
         let seen = self.seen();
-        let keeps = status.keeper.is_some();
+        let keeps = status.leader.is_some();
         seen.keeps.store(keeps, Relaxed);
-        seen.votes.store(status.seat.is_some_and(|seat| seat.votes), Relaxed);
-        seen.leave_of.store(if status.has_leave { u64::from(status.asks) + 1 } else { 0 }, Relaxed);
-        seen.given.store(status.holder.given, Relaxed);
+        seen.votes.store(status.voter.is_some_and(|seat| seat.can_vote), Relaxed);
+        seen.leave_of.store(if status.has_grant { u64::from(status.requests_to) + 1 } else { 0 }, Relaxed);
+        seen.given.store(status.grant_holder.granted, Relaxed);
         seen.members.store(u64::from(status.members.unwrap_or(0)), Relaxed);
         let by = policy.filter(|policy| policy.standing == "by it").and_then(|policy| policy.acts_by);
         let (number, digest) = by.map_or((0, 0), |(number, digest)| (number, first_of(&digest.to_string())));
@@ -355,7 +358,7 @@
         Ok(hollow) => hollow,
         Err(error) => return eprintln!("hollow: {error}"),
     };
-    let (mut of_fleet, mut of_peers) = ([0; LONGEST + 1], [0; LONGEST_OF_PEERS + 1]);
+    let (mut of_fleet, mut of_peers) = ([0; MAX_DATAGRAM_BYTES + 1], [0; LONGEST_OF_PEERS + 1]);
     while !hollow.shared.over.load(Relaxed) && !hollow.seen().ended.load(Relaxed) {
         let now = machine_time();
         let due = hollow.due(now);
--- a/crates/rig/src/simulated.rs
+++ b/crates/rig/src/simulated.rs
@@ -4,11 +4,11 @@
 use crate::plan::{Fault, Plan};
 use bramblewharf_budgets::usage::{Lingering, Took};
 use bramblewharf_budgets::{Budget, Claim, Measure, Scope, GRAIN};
-use bramblewharf_fleet::node::{Effect, Node, Remains, Start, To};
-use bramblewharf_fleet::outstanding::{Life, Outstanding, Record};
+use bramblewharf_fleet::node::{Effect, Node, Recipient, Remains, Start};
+use bramblewharf_fleet::outstanding::{Outstanding, ProcessRun, Record};
 use bramblewharf_fleet::predecessor::Predecessor;
 use bramblewharf_fleet::wire::Message;
-use bramblewharf_fleet::{Envelope, Incarnation, Key, Terms, Wrong};
+use bramblewharf_fleet::{Envelope, FleetConfig, Incarnation, InjectedBug, Key};
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -39,7 +39,7 @@
     pub lease: Duration,
     /// By how many thousandths each clock is fast, from minus to plus this.
     pub drift: u32,
-    pub wrong: Option<Wrong>,
+    pub wrong: Option<InjectedBug>,
     pub seed: u64,
 }
 
@@ -63,17 +63,17 @@
 }
 
 impl Fleet {
-    pub fn terms(&self) -> Terms {
-        let engines_keep = 500 * MS;
-        Terms {
+    pub fn terms(&self) -> FleetConfig {
+        let orphan_retention = 500 * MS;
+        FleetConfig {
             fleet: 1,
-            places: self.places,
-            seats: self.seats,
+            max_members: self.places,
+            voters: self.seats,
             lease: self.lease,
             drift_percent: 1,
-            run_out: self.longest + engines_keep,
-            engines_keep,
-            wrong: self.wrong,
+            max_execution_time: self.longest + orphan_retention,
+            orphan_retention,
+            injected_bug: self.wrong,
         }
     }
 
@@ -139,7 +139,7 @@
     running: Vec<Execution>,
     /// What its file holds of what is out, as the next process finds it; and what this one began with.
     record: Option<Record>,
-    life: Option<Life>,
+    run: Option<ProcessRun>,
     /// Engines don't answer it before then.
     unheard: Duration,
     /// What it counted for in the sum when last looked at.
@@ -234,14 +234,14 @@
                 lies: false,
                 running: Vec::new(),
                 record: None,
-                life: None,
+                run: None,
                 unheard: Duration::ZERO,
                 counted: 0,
             }
         });
         let gateways: Vec<Gateway> = gateways.collect();
         let mut world = World {
-            key: Key::read(b"a key of sixteen bytes").expect("long enough"),
+            key: Key::derive(b"a key of sixteen bytes").expect("long enough"),
             rng,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
@@ -318,7 +318,7 @@
                     self.step(at, Node::tick);
                 }
                 while let Some((envelope, from)) = self.gateways[at].inbox.pop_front() {
-                    self.step(at, |node, now| node.heard(now, envelope, from));
+                    self.step(at, |node, now| node.handle_message(now, envelope, from));
                 }
                 if !first {
                     self.step(at, Node::tick);
@@ -333,14 +333,14 @@
                     gateway.inbox.push_back((*envelope, from));
                     return;
                 }
-                self.step(at, |node, now| node.heard(now, *envelope, from));
+                self.step(at, |node, now| node.handle_message(now, *envelope, from));
             }
             Event::Statement(at, incarnation) => self.statement(at, incarnation),
             Event::Ended(at) => self.end(at),
             Event::Heard(at, incarnation) => {
                 if self.gateways[at].incarnation == incarnation {
                     self.step(at, |node, now| {
-                        node.engines_heard(now);
+                        node.engines_confirmed(now);
                         Vec::new()
                     });
                 }
@@ -363,17 +363,17 @@
         gateway.inbox.clear();
         let incarnation = Incarnation(((at as u64) << 32) + gateway.incarnation);
         let start = Start {
-            place: at as u32,
-            seat: u8::try_from(at).ok().filter(|seat| *seat < self.fleet.seats),
+            member_id: at as u32,
+            voter: u8::try_from(at).ok().filter(|seat| *seat < self.fleet.seats),
             incarnation,
-            terms: self.fleet.terms(),
+            config: self.fleet.terms(),
             budgets: vec![self.fleet.budget()],
-            table: 1,
+            table_digest: 1,
             seed,
         };
         let now = self.local(at);
         let record = self.gateways[at].record.take();
-        self.gateways[at].life = Some(Life::start(start.incarnation, 1, 0, record.as_ref()));
+        self.gateways[at].run = Some(ProcessRun::start(start.incarnation, 1, 0, record.as_ref()));
         let predecessor = record.map_or(Predecessor::Unknown, Predecessor::Recorded);
         let (node, inherited) = Node::start_after(start, predecessor, now);
         self.gateways[at].node = Some(node);
@@ -415,19 +415,19 @@
     }
 
     fn kill(&mut self, at: usize) {
-        let keep = self.fleet.terms().engines_keep;
+        let keep = self.fleet.terms().orphan_retention;
         let now = self.now;
         let gateway = &mut self.gateways[at];
         if let Some(node) = gateway.node.take() {
-            let life = gateway.life.take().map(|life| Life { complete: node.counts_all(), ..life });
+            let run = gateway.run.take().map(|run| ProcessRun { complete: node.counts_everything(), ..run });
             let left = |x: &Execution| Outstanding {
                 id: x.id.to_string(),
                 execution: 0,
                 engine: address(at),
-                took: x.took.clone(),
+                demand: x.took.clone(),
             };
             let outstanding = gateway.running.iter().map(left).collect();
-            gateway.record = life.map(|life| Record { life, outstanding });
+            gateway.record = run.map(|run| Record { run, outstanding });
             // Nobody asks any more: engines go on for as long as they do.
             gateway.running.iter_mut().for_each(|x| x.ends = x.ends.min(x.read.max(now) + keep));
             gateway.inbox.clear();
@@ -437,7 +437,7 @@
 
     /// Killed, and what it has out is read so much later: it may be in use all that time.
     fn kill_unread(&mut self, at: usize, lasts: Duration) {
-        let (read, keep) = (self.now + lasts, self.fleet.terms().engines_keep);
+        let (read, keep) = (self.now + lasts, self.fleet.terms().orphan_retention);
         if self.gateways[at].node.is_some() {
             self.gateways[at].unheard = read;
             for x in &mut self.gateways[at].running {
@@ -453,7 +453,7 @@
         let effects = step(node, now);
         let due = node.due(now);
         for effect in effects {
-            if let Effect::Say { to, envelope } = effect {
+            if let Effect::Send { to, envelope } = effect {
                 self.say(at, to, envelope);
             }
         }
@@ -473,16 +473,16 @@
         }
     }
 
-    fn say(&mut self, from: usize, to: To, mut envelope: Envelope) {
-        if let (Message::Ask(ask), true) = (&mut envelope.message, self.gateways[from].lies) {
+    fn say(&mut self, from: usize, to: Recipient, mut envelope: Envelope) {
+        if let (Message::GrantRequest(ask), true) = (&mut envelope.message, self.gateways[from].lies) {
             ask.needs.iter_mut().for_each(|need| *need = u64::MAX);
         }
         self.seen.messages += 1;
-        let Some(bytes) = envelope.write(&self.key) else { return };
+        let Some(bytes) = envelope.encode(&self.key) else { return };
         self.seen.bytes += bytes.len() as u64;
         let to = match to {
-            To::Seat(seat) => usize::from(seat),
-            To::Address(address) => usize::from(address.port()) - 1,
+            Recipient::Voter(seat) => usize::from(seat),
+            Recipient::Address(address) => usize::from(address.port()) - 1,
         };
         if self.kept.len() < KEPT {
             self.kept.push_back((to, envelope.clone(), address(from)));
@@ -541,15 +541,15 @@
         let claim = Claim { workload: 0, customer: None, kind: "", weight: 1.0, mem_mb: 0.0, before: 0 };
         let now = self.local(at);
         let Some(node) = &mut self.gateways[at].node else { return };
-        let mut room = node.room(now);
+        let mut room = node.headroom(now);
         if !room.permits(now, &claim) {
             self.seen.refused += 1;
-            node.refused(now, &claim);
+            node.statement_refused(now, &claim);
             let due = node.due(now);
             return self.wake_by(at, due);
         }
         let took = room.take(&claim);
-        node.took(now, &took);
+        node.execution_started(now, &took);
         self.seen.sent += 1;
         self.seen.by_gateway[at] += 1;
         let most = self.fleet.longest.as_micros() as u64;
@@ -565,7 +565,7 @@
 
     fn end(&mut self, at: usize) {
         let (now, local) = (self.now, self.local(at));
-        let keep = self.fleet.terms().engines_keep;
+        let keep = self.fleet.terms().orphan_retention;
         let gateway = &mut self.gateways[at];
         let paused = gateway.paused;
         let mut later = Vec::new();
@@ -580,12 +580,12 @@
                 later.push(Execution { ends: paused, over: true, ..x });
             } else if ours && x.unheard {
                 if let Some(node) = &mut gateway.node {
-                    node.ended(local, x.took.clone(), Remains::UntilForgotten);
+                    node.execution_ended(local, x.took.clone(), Remains::Orphaned);
                 }
                 unheard.push(Execution { ends: now + keep, incarnation: 0, unheard: false, ..x });
             } else if ours {
                 if let Some(node) = &mut gateway.node {
-                    node.ended(local, x.took, Remains::Nothing);
+                    node.execution_ended(local, x.took, Remains::Nothing);
                 }
             }
         }
@@ -703,7 +703,7 @@
             let local = self.local(at);
             if let Some(node) = &mut self.gateways[at].node {
                 leave += node.figures(local).iter().map(|f| f.floor + f.leave).sum::<u64>();
-                kept |= node.keeps(local);
+                kept |= node.is_leader(local);
             }
         }
         self.seen.leave.push((now, leave));
--- a/crates/rig/tests/simulated.rs
+++ b/crates/rig/tests/simulated.rs
@@ -2,7 +2,7 @@
 
 use bramblewharf_budgets::scope::ENGINES;
 use bramblewharf_budgets::GRAIN;
-use bramblewharf_fleet::Wrong;
+use bramblewharf_fleet::InjectedBug;
 use bramblewharf_rig::plan::{draw, smaller, Fault, Plan};
 use bramblewharf_rig::simulated::{play, Fleet, Seen, World};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     within.iter().sum::<u64>() as f64 / within.len() as f64 / fleet.whole as f64
 }
 
-fn campaign(seeds: std::ops::Range<u64>, wrong: Option<Wrong>) -> Option<u64> {
+fn campaign(seeds: std::ops::Range<u64>, wrong: Option<InjectedBug>) -> Option<u64> {
     let mut seeds = seeds;
     seeds.find(|seed| {
         // Short executions: else the time for those hides a leave that lasts too long.
@@ -40,7 +40,12 @@
 
 #[test]
 fn every_known_mistake_is_caught_by_some_plan() {
-    for wrong in [Wrong::GivesAnewAtOnce, Wrong::TwoKeepers, Wrong::NoWaitingOut, Wrong::AnyAnswerCounts] {
+    for wrong in [
+        InjectedBug::ReassignsSuspectGrants,
+        InjectedBug::TwoLeaders,
+        InjectedBug::NoRecoveryPeriod,
+        InjectedBug::AcceptsStaleReplies,
+    ] {
         assert!(campaign(1..400, Some(wrong)).is_some(), "{wrong:?} was not caught");
     }
 }
@@ -54,7 +59,7 @@
         let split = Fault::Split { at: 4, lasts: 6 * S };
         play(fleet, vec![(6 * S, late), (10 * S + seed as u32 * 10 * MS, split)], 20 * S).broken.is_some()
     };
-    assert!((1..200).any(|seed| broken(Some(Wrong::CountsFromAnswer), seed)));
+    assert!((1..200).any(|seed| broken(Some(InjectedBug::CountsGrantFromReply), seed)));
     assert!(!(1..40).any(|seed| broken(None, seed)));
 }
 
@@ -68,12 +73,12 @@
         };
         play(fleet, (0..8).flat_map(kill).collect(), 25 * S).broken.is_some()
     };
-    assert!((1..60).any(|seed| broken(Some(Wrong::FreeAtTheKill), seed)));
+    assert!((1..60).any(|seed| broken(Some(InjectedBug::FreesKilledProcessGrant), seed)));
     assert!(!(1..20).any(|seed| broken(None, seed)));
 }
 
 /// What a gateway killed in a crowd sent is read up to a lease, a quarter and the longest statement later.
-fn killed_unread(records: bool, wrong: Option<Wrong>, seed: u64) -> Seen {
+fn killed_unread(records: bool, wrong: Option<InjectedBug>, seed: u64) -> Seen {
     let fleet = Fleet { wrong, demand: 600, longest: 2 * S, seed, ..Fleet::default() };
     let mut plan = Plan::new();
     for round in 0..3 {
@@ -95,8 +100,8 @@
             assert_eq!(killed_unread(records, None, seed).broken, None, "records {records}, seed {seed}");
         }
         let caught = |wrong| (1..60).any(|seed| killed_unread(records, Some(wrong), seed).broken.is_some());
-        assert!(caught(Wrong::SettledUnheard), "records {records}");
-        assert!(caught(Wrong::FreeAtTheKill), "records {records}");
+        assert!(caught(InjectedBug::AssumesPredecessorEnded), "records {records}");
+        assert!(caught(InjectedBug::FreesKilledProcessGrant), "records {records}");
     }
 }
 
@@ -148,7 +153,7 @@
         }
     };
     let zero = Duration::ZERO;
-    let engines_time = Fleet::default().terms().ghost() + 600 * MS;
+    let engines_time = Fleet::default().terms().max_orphan_time() + 600 * MS;
     assert!(back(true, true, zero) <= 100 * MS);
     assert!(back(true, true, 3 * S) <= 100 * MS);
     assert!(back(true, false, zero) <= engines_time);
@@ -170,7 +175,7 @@
         plan.extend([3, 4].map(|at| (12500 * MS, Fault::Demand(at, 2000))));
         play(fleet, plan, 20 * S).broken.is_some()
     };
-    assert!((1..60).any(|seed| broken(Some(Wrong::VotesUnknowing), seed)));
+    assert!((1..60).any(|seed| broken(Some(InjectedBug::VotesAtStart), seed)));
     assert!(!(1..20).any(|seed| broken(None, seed)));
 }
 
@@ -183,13 +188,13 @@
         plan.extend((0..3).map(|at| (10 * S + 700 * MS, Fault::JumpOn(at, 1200 * MS))));
         play(fleet, plan, 20 * S).broken.is_some()
     };
-    assert!((1..60).any(|seed| broken(Some(Wrong::SleepCounts), seed)));
+    assert!((1..60).any(|seed| broken(Some(InjectedBug::CountsSuspendedTime), seed)));
     assert!(!(1..20).any(|seed| broken(None, seed)));
 }
 
 #[test]
 fn a_plan_that_breaks_is_made_smaller() {
-    let fleet = Fleet { wrong: Some(Wrong::GivesAnewAtOnce), ..Fleet::default() };
+    let fleet = Fleet { wrong: Some(InjectedBug::ReassignsSuspectGrants), ..Fleet::default() };
     let fails = |plan: &Plan| play(fleet.clone(), plan.clone(), 25 * S).broken.is_some();
     let seed = (1..100).find(|seed| fails(&draw(*seed, 5, 3, 20 * S, 10))).unwrap();
     let plan = draw(seed, 5, 3, 20 * S, 10);
@@ -237,7 +242,7 @@
     let before = used(&seen, &fleet, 15 * S, 20 * S);
     // Their floors are theirs, whether they are there or not.
     let most = 1.0 - 0.1 * 3.0 / 10.0;
-    let free = 20 * S + fleet.terms().until_free() + fleet.lease / 2;
+    let free = 20 * S + fleet.terms().reclaim_delay() + fleet.lease / 2;
     let after = used(&seen, &fleet, free, free + 5 * S);
     assert!(before > 0.93 && after / most > 0.95, "{before} {after}");
 }
