--- a/crates/policy/src/coordinator.rs
+++ b/crates/policy/src/coordinator.rs
@@ -12,8 +12,8 @@
 use crate::revision_cache::RevisionCache;
 use crate::{InjectedBug, Phase, Terms};
 use bramblewharf_budgets::Patience;
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::voter::Ballot;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -136,7 +136,7 @@
     pub fn tick(
         &mut self,
         now: Duration,
-        revisions: &mut RevisionCache<To>,
+        revisions: &mut RevisionCache<Recipient>,
         first: Digest,
     ) -> Option<Vec<(u8, PolicyMessage)>> {
         self.clock.look(now, false).ok()?;
@@ -153,7 +153,7 @@
             }
             due
         };
-        let voters = 0..self.terms.fleet.seats;
+        let voters = 0..self.terms.fleet.voters;
         match &mut self.state {
             State::Reading { answers, last_sent } => {
                 if due(last_sent) {
@@ -200,7 +200,7 @@
     }
 
     /// Once enough voters have replied, writes the latest entry again under this term.
-    fn write_latest_entry(&mut self, revisions: &mut RevisionCache<To>, first: Digest) {
+    fn write_latest_entry(&mut self, revisions: &mut RevisionCache<Recipient>, first: Digest) {
         let State::Reading { answers, .. } = &self.state else { return };
         let sufficient = match self.terms.has_bug(InjectedBug::ReadsOwnVoterOnly) {
             true => answers.contains_key(&self.own_voter),
@@ -208,7 +208,7 @@
                 let intact = answers.values().filter(|(state_intact, _)| *state_intact).count();
                 let all_empty = answers.values().all(|(_, stored)| stored.is_none());
                 // The first start of a fleet: all voters have replied and none has an entry.
-                let fresh = all_empty && answers.len() == usize::from(self.terms.fleet.seats);
+                let fresh = all_empty && answers.len() == usize::from(self.terms.fleet.voters);
                 intact >= self.terms.fleet.majority() || fresh
             }
         };
@@ -219,8 +219,8 @@
         let latest =
             latest.max_by_key(|(_, (stamp, _))| *stamp).map(|(voter, (_, entry))| (voter, entry.clone()));
         let (from, entry) = match latest {
-            Some((voter, entry)) => (To::Seat(voter), entry),
-            None => (To::Seat(self.own_voter), Entry { current: first, ..Entry::default() }),
+            Some((voter, entry)) => (Recipient::Voter(voter), entry),
+            None => (Recipient::Voter(self.own_voter), Entry { current: first, ..Entry::default() }),
         };
         let missing: Vec<Digest> =
             entry.digests().filter(|digest| !revisions.ensure_cached(*digest, from)).collect();
@@ -237,7 +237,7 @@
 
     /// Handles a member's request for a grant.
     pub fn handle_grant_request(&mut self, member_id: u32, request: &GrantRequest) -> Option<PolicyMessage> {
-        if member_id >= self.terms.fleet.places {
+        if member_id >= self.terms.fleet.max_members {
             return None;
         }
         if !self.is_serving() {
@@ -286,7 +286,7 @@
                 .members
                 .values()
                 .filter(|member| member.reported_phase.is_some_and(|reported_phase| reported_phase >= phase));
-            (reported.count() as u64) < u64::from(self.terms.fleet.places)
+            (reported.count() as u64) < u64::from(self.terms.fleet.max_members)
         };
         let may_hold_earlier =
             |member: &Member| member.granted.iter().any(|(of, until)| *of < phase && now < *until);
@@ -343,7 +343,7 @@
                 None => wait_for_missing,
             }
         };
-        (0..self.terms.fleet.places).filter(is_awaited).take(MAX_NAMED_MEMBERS).collect()
+        (0..self.terms.fleet.max_members).filter(is_awaited).take(MAX_NAMED_MEMBERS).collect()
     }
 
     /// Revisions that an isolated gateway may enforce: those reported by members and those in the register.
@@ -357,7 +357,7 @@
     }
 
     /// Begins a proposal once all conditions hold, or withdraws it.
-    fn advance_proposal(&mut self, revisions: &mut RevisionCache<To>) {
+    fn advance_proposal(&mut self, revisions: &mut RevisionCache<Recipient>) {
         let Some(proposal) = self.proposal.as_ref().filter(|_| matches!(self.state, State::Serving)) else {
             return;
         };
@@ -426,7 +426,12 @@
     }
 
     /// Checks that a revision permits all that an isolated gateway may do under an earlier one.
-    fn covers(&self, revisions: &RevisionCache<To>, later: &Digest, earlier: &Digest) -> Result<(), String> {
+    fn covers(
+        &self,
+        revisions: &RevisionCache<Recipient>,
+        later: &Digest,
+        earlier: &Digest,
+    ) -> Result<(), String> {
         if self.terms.has_bug(InjectedBug::IgnoresIsolatedGateways) {
             return Ok(());
         }
@@ -438,7 +443,7 @@
 
     /// Members that may still do in isolation what the next revision forbids: they don't know of it or have
     /// not stored it.
-    fn members_behind(&self, revisions: &RevisionCache<To>, next: Digest) -> Vec<u32> {
+    fn members_behind(&self, revisions: &RevisionCache<Recipient>, next: Digest) -> Vec<u32> {
         let possibly_active = self.entry.possibly_active.iter().chain([&self.entry.current]);
         let all_covered = possibly_active
             .map(|earlier| self.covers(revisions, &next, earlier))
@@ -450,11 +455,11 @@
             }
             _ => !all_covered,
         };
-        (0..self.terms.fleet.places).filter(is_behind).take(MAX_NAMED_MEMBERS).collect()
+        (0..self.terms.fleet.max_members).filter(is_behind).take(MAX_NAMED_MEMBERS).collect()
     }
 
     /// Goes from both revisions to the later one, once no member can enforce the earlier one alone.
-    fn advance_phase(&mut self, revisions: &RevisionCache<To>) {
+    fn advance_phase(&mut self, revisions: &RevisionCache<Recipient>) {
         if !matches!(self.state, State::Serving) {
             return;
         }
@@ -485,7 +490,7 @@
             return self.write(entry, true);
         }
         // All members have stored and enforce the current revision: no earlier one is enforced anywhere.
-        let all_known = self.members.len() as u64 == u64::from(self.terms.fleet.places);
+        let all_known = self.members.len() as u64 == u64::from(self.terms.fleet.max_members);
         let up_to_date = |member: &Member| {
             member.reported_phase == Some(phase) && member.durable_fallback == [self.entry.current]
         };
@@ -500,7 +505,7 @@
     }
 
     /// The policy in force and the proposal under way.
-    pub fn status(&self, revisions: &RevisionCache<To>) -> CoordinatorStatus {
+    pub fn status(&self, revisions: &RevisionCache<Recipient>) -> CoordinatorStatus {
         let proposal = self.proposal.as_ref();
         CoordinatorStatus {
             leader: Some(self.own_voter),
--- a/crates/policy/src/follower.rs
+++ b/crates/policy/src/follower.rs
@@ -6,7 +6,7 @@
 use crate::revision_cache::RevisionCache;
 use crate::rules::{ExecutionRequest, Rules};
 use crate::{Phase, Terms};
-use bramblewharf_fleet::node::To;
+use bramblewharf_fleet::node::Recipient;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -119,7 +119,7 @@
         now: Duration,
     ) -> Follower {
         Follower {
-            voter: (member_id % u32::from(terms.fleet.seats.max(1))) as u8,
+            voter: (member_id % u32::from(terms.fleet.voters.max(1))) as u8,
             terms,
             number: incarnation >> 16,
             pending_request: None,
@@ -201,7 +201,7 @@
         }
         if self.pending_request.take().is_some() {
             self.counts.unanswered += 1;
-            self.voter = (self.voter + 1) % self.terms.fleet.seats.max(1);
+            self.voter = (self.voter + 1) % self.terms.fleet.voters.max(1);
         }
         self.number += 1;
         self.counts.requests += 1;
@@ -225,7 +225,7 @@
         now: Duration,
         from: u8,
         message: PolicyMessage,
-        revisions: &mut RevisionCache<To>,
+        revisions: &mut RevisionCache<Recipient>,
     ) -> bool {
         self.observe_clock(now);
         let number = match &message {
@@ -242,8 +242,8 @@
             PolicyMessage::NotReady { leader, .. } => {
                 // Retries soon, at the leader named in the reply or else at the next voter.
                 self.next_request = now + self.terms.lease() / 16;
-                let other = (from + 1) % self.terms.fleet.seats.max(1);
-                self.voter = leader.filter(|leader| *leader < self.terms.fleet.seats).unwrap_or(other);
+                let other = (from + 1) % self.terms.fleet.voters.max(1);
+                self.voter = leader.filter(|leader| *leader < self.terms.fleet.voters).unwrap_or(other);
                 false
             }
             PolicyMessage::Grant(grant) => {
@@ -261,18 +261,20 @@
         at: Duration,
         from: u8,
         grant: Grant,
-        revisions: &mut RevisionCache<To>,
+        revisions: &mut RevisionCache<Recipient>,
     ) -> bool {
         self.needed = grant.check.into_iter().chain(grant.next).chain([grant.current]).collect();
-        if let Some(check) = grant.check.filter(|check| revisions.ensure_cached(*check, To::Seat(from))) {
+        if let Some(check) =
+            grant.check.filter(|check| revisions.ensure_cached(*check, Recipient::Voter(from)))
+        {
             if self.verdict.as_ref().is_none_or(|(of, _)| *of != check) {
                 let why = revisions.get(&check).and_then(|cached| cached.rules.as_ref().err().cloned());
                 self.verdict = Some((check, why.map(|why| why.chars().take(120).collect())));
                 self.next_request = now;
             }
         }
-        let here = revisions.ensure_cached(grant.current, To::Seat(from));
-        let next_here = grant.next.is_none_or(|next| revisions.ensure_cached(next, To::Seat(from)));
+        let here = revisions.ensure_cached(grant.current, Recipient::Voter(from));
+        let next_here = grant.next.is_none_or(|next| revisions.ensure_cached(next, Recipient::Voter(from)));
         let until = at + self.terms.lease();
         if !here
             || !next_here
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -56,7 +56,7 @@
 /// Parameters that must be the same on all gateways of the fleet.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub fleet: bramblewharf_fleet::Terms,
+    pub fleet: bramblewharf_fleet::FleetConfig,
     pub injected_bug: Option<InjectedBug>,
 }
 
@@ -69,7 +69,7 @@
     /// How long after it was given a grant may still take effect, including a send decided just before the
     /// expiry.
     pub fn max_grant_lifetime(&self) -> Duration {
-        self.fleet.longer(self.fleet.lease + self.fleet.on_its_way())
+        self.fleet.with_clock_drift(self.fleet.lease + self.fleet.max_send_delay())
     }
 
     /// Whether this bug is enabled.
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -4,7 +4,7 @@
 use crate::register::{Entry, Stamp};
 use crate::revision::Digest;
 use crate::Phase;
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::voter::Ballot;
 use serde::{Deserialize, Serialize};
 
 /// The most bytes of a revision in one message.
--- a/crates/policy/src/node.rs
+++ b/crates/policy/src/node.rs
@@ -10,8 +10,8 @@
 use crate::rules::Rules;
 use crate::store::StoredState;
 use crate::{Check, Phase, Terms};
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::seat::Right;
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::voter::LeaderLease;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Send {
-        to: To,
+        to: Recipient,
         message: PolicyMessage,
     },
     /// Replace the stored file atomically, then report the result with `write_finished`.
@@ -75,14 +75,14 @@
     terms: Terms,
     voter: Option<u8>,
     initial: Digest,
-    revisions: RevisionCache<To>,
+    revisions: RevisionCache<Recipient>,
     follower: Follower,
     register: Option<Register>,
     coordinator: Option<Coordinator>,
     /// The file written last, and the replies that wait until it is durable.
     generation: u64,
     stored_state: Option<StoredState>,
-    pending_replies: Vec<(u64, To, PolicyMessage)>,
+    pending_replies: Vec<(u64, Recipient, PolicyMessage)>,
     /// The fallback named by each unfinished write.
     pending_writes: Vec<(u64, Vec<Digest>)>,
     /// Revisions of the last register write that was refused until they are cached: retained for its retry.
@@ -97,7 +97,7 @@
     pub fn start(start: Start, now: Duration) -> Result<Node, String> {
         let Start { member_id, voter, terms, check, initial, stored, incarnation, wait, fallback_to_initial } =
             start;
-        let mut revisions = RevisionCache::new(check, voter.map(To::Seat));
+        let mut revisions = RevisionCache::new(check, voter.map(Recipient::Voter));
         let initial = revisions.add(initial);
         if let Some(Err(why)) = revisions.get(&initial).map(|cached| cached.rules.clone()) {
             return Err(why);
@@ -148,7 +148,7 @@
     }
 
     /// `leadership`: this gateway's right to lead, while the voters grant it.
-    pub fn tick(&mut self, now: Duration, leadership: Option<Right>) -> Vec<Effect> {
+    pub fn tick(&mut self, now: Duration, leadership: Option<LeaderLease>) -> Vec<Effect> {
         self.last_tick = now;
         let mut effects = Vec::new();
         self.run_coordinator(now, leadership, &mut effects);
@@ -162,7 +162,7 @@
         effects
     }
 
-    fn run_coordinator(&mut self, now: Duration, leadership: Option<Right>, effects: &mut Vec<Effect>) {
+    fn run_coordinator(&mut self, now: Duration, leadership: Option<LeaderLease>, effects: &mut Vec<Effect>) {
         let leadership = leadership.filter(|leadership| now < leadership.until);
         if self.coordinator.as_ref().is_some_and(|coordinator| {
             leadership.is_none_or(|leadership| leadership.term != coordinator.leadership_term())
@@ -186,8 +186,8 @@
     /// The own voter gets the same messages as others, but without the network.
     fn send_to_voter(&mut self, now: Duration, voter: u8, message: PolicyMessage, effects: &mut Vec<Effect>) {
         match self.voter == Some(voter) {
-            true => self.dispatch(now, To::Seat(voter), None, message, effects),
-            false => effects.push(Effect::Send { to: To::Seat(voter), message }),
+            true => self.dispatch(now, Recipient::Voter(voter), None, message, effects),
+            false => effects.push(Effect::Send { to: Recipient::Voter(voter), message }),
         }
     }
 
@@ -196,10 +196,10 @@
     pub fn handle_message(
         &mut self,
         now: Duration,
-        from: To,
+        from: Recipient,
         member_id: Option<u32>,
         message: PolicyMessage,
-        leadership: Option<Right>,
+        leadership: Option<LeaderLease>,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         // The leadership may have changed since the last tick.
@@ -212,7 +212,7 @@
     fn dispatch(
         &mut self,
         now: Duration,
-        from: To,
+        from: Recipient,
         member_id: Option<u32>,
         message: PolicyMessage,
         effects: &mut Vec<Effect>,
@@ -249,21 +249,21 @@
             }
             PolicyMessage::GrantRequest(request) => {
                 let member_id =
-                    member_id.or((Some(from) == self.voter.map(To::Seat)).then_some(self.member_id));
+                    member_id.or((Some(from) == self.voter.map(Recipient::Voter)).then_some(self.member_id));
                 let Some(member_id) = member_id.filter(|_| self.voter.is_some()) else { return };
                 let answer = match &mut self.coordinator {
                     Some(coordinator) => coordinator.handle_grant_request(member_id, &request),
                     None => Some(PolicyMessage::NotReady { number: request.number, leader: None }),
                 };
                 if let Some(message) = answer {
-                    match Some(from) == self.voter.map(To::Seat) {
+                    match Some(from) == self.voter.map(Recipient::Voter) {
                         true => self.deliver_to_follower(now, self.voter.unwrap_or(0), message, effects),
                         false => effects.push(Effect::Send { to: from, message }),
                     }
                 }
             }
             PolicyMessage::Grant(_) | PolicyMessage::NotReady { .. } => {
-                let To::Seat(voter) = from else { return };
+                let Recipient::Voter(voter) = from else { return };
                 self.deliver_to_follower(now, voter, message, effects);
             }
             PolicyMessage::Offer { digest, wait_ms } => {
@@ -284,7 +284,7 @@
         }
     }
 
-    fn send_status(&self, to: To, effects: &mut Vec<Effect>) {
+    fn send_status(&self, to: Recipient, effects: &mut Vec<Effect>) {
         if let Some(coordinator) = self.coordinator.as_ref().filter(|coordinator| coordinator.is_serving()) {
             effects.push(Effect::Send {
                 to,
@@ -293,8 +293,8 @@
         }
     }
 
-    fn deliver_to_coordinator(&mut self, from: To, message: PolicyMessage) {
-        let To::Seat(voter) = from else { return };
+    fn deliver_to_coordinator(&mut self, from: Recipient, message: PolicyMessage) {
+        let Recipient::Voter(voter) = from else { return };
         if let Some(coordinator) = &mut self.coordinator {
             coordinator.handle_reply(voter, message);
         }
@@ -317,7 +317,7 @@
     }
 
     /// Replies once the state that the reply relies on is durable.
-    fn reply_when_durable(&mut self, to: To, message: PolicyMessage, effects: &mut Vec<Effect>) {
+    fn reply_when_durable(&mut self, to: Recipient, message: PolicyMessage, effects: &mut Vec<Effect>) {
         if let PolicyMessage::StaleTerm { .. } = message {
             return self.reply_now(to, message, effects);
         }
@@ -328,8 +328,8 @@
         self.pending_replies.push((self.generation, to, message));
     }
 
-    fn reply_now(&mut self, to: To, message: PolicyMessage, effects: &mut Vec<Effect>) {
-        match Some(to) == self.voter.map(To::Seat) {
+    fn reply_now(&mut self, to: Recipient, message: PolicyMessage, effects: &mut Vec<Effect>) {
+        match Some(to) == self.voter.map(Recipient::Voter) {
             true => self.deliver_to_coordinator(to, message),
             false => effects.push(Effect::Send { to, message }),
         }
--- a/crates/policy/src/register.rs
+++ b/crates/policy/src/register.rs
@@ -8,7 +8,7 @@
 use crate::message::PolicyMessage;
 use crate::revision::Digest;
 use crate::{InjectedBug, Phase, Terms};
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::voter::Ballot;
 use serde::{Deserialize, Serialize};
 
 /// Identifies a write: the leader's term, and its number in that term.
--- a/crates/policy/tests/encoding.rs
+++ b/crates/policy/tests/encoding.rs
@@ -2,7 +2,7 @@
 //! different builds exchange these bytes and read each other's files, so that no change of names or of field
 //! order may change them.
 
-use bramblewharf_fleet::seat::Ballot;
+use bramblewharf_fleet::voter::Ballot;
 use bramblewharf_fleet::Incarnation;
 use bramblewharf_policy::message::{CoordinatorStatus, Grant, GrantRequest};
 use bramblewharf_policy::register::{DurableState, EntryPhase};
@@ -17,7 +17,7 @@
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 300, seat: 2, incarnation: Incarnation(70_000) }
+    Ballot { round: 300, voter: 2, incarnation: Incarnation(70_000) }
 }
 
 fn stamp() -> Stamp {
--- a/crates/policy/tests/fleets.rs
+++ b/crates/policy/tests/fleets.rs
@@ -2,8 +2,8 @@
 //! loses, delays and duplicates messages, processes that crash and pause, and disks that fail or lose their
 //! file. After each step the invariants are checked over all nodes.
 
-use bramblewharf_fleet::node::To;
-use bramblewharf_fleet::seat::{Ballot, Right};
+use bramblewharf_fleet::node::Recipient;
+use bramblewharf_fleet::voter::{Ballot, LeaderLease};
 use bramblewharf_fleet::Incarnation;
 use bramblewharf_policy::node::{Effect, Node, Start};
 use bramblewharf_policy::revision::Digest;
@@ -68,7 +68,7 @@
     drops_outgoing_until: Duration,
     drops_incoming_until: Duration,
     disk_fails_until: Duration,
-    inbox: Vec<(Duration, To, Option<u32>, PolicyMessage)>,
+    inbox: Vec<(Duration, Recipient, Option<u32>, PolicyMessage)>,
 }
 
 struct World {
@@ -79,7 +79,7 @@
     /// Percentage of lost messages, and until when.
     loss: (u32, Duration),
     /// The leader, its term and its expiry; terms only grow.
-    leader: Option<(usize, Right)>,
+    leader: Option<(usize, LeaderLease)>,
     round: u64,
     /// The revisions that the operator proposed.
     offers: Vec<Revision>,
@@ -100,15 +100,15 @@
 
 impl World {
     fn new(gateways: usize, voters: u8, injected_bug: Option<InjectedBug>, seed: u64) -> World {
-        let fleet = bramblewharf_fleet::Terms {
+        let fleet = bramblewharf_fleet::FleetConfig {
             fleet: 1,
-            places: gateways as u32,
-            seats: voters,
+            max_members: gateways as u32,
+            voters,
             lease: 1000 * MS,
             drift_percent: 1,
-            run_out: 500 * MS,
-            engines_keep: 200 * MS,
-            wrong: None,
+            max_execution_time: 500 * MS,
+            orphan_retention: 200 * MS,
+            injected_bug: None,
         };
         let gateway = || Gateway {
             node: None,
@@ -150,7 +150,7 @@
     }
 
     fn voters(&self) -> usize {
-        usize::from(self.terms.fleet.seats)
+        usize::from(self.terms.fleet.voters)
     }
 
     fn start(&mut self, at: usize) {
@@ -175,7 +175,7 @@
         gateway.node = Some(Node::start(start, self.now).unwrap());
     }
 
-    fn leadership(&self, at: usize) -> Option<Right> {
+    fn leadership(&self, at: usize) -> Option<LeaderLease> {
         self.leader
             .filter(|(leader, leadership)| *leader == at && self.now < leadership.until)
             .map(|(_, leadership)| leadership)
@@ -199,7 +199,7 @@
                     && is_able(self, at)
                     && self.now + 600 * MS > leadership.until
                 {
-                    let leadership = Right { until: self.now + 1000 * MS, ..leadership };
+                    let leadership = LeaderLease { until: self.now + 1000 * MS, ..leadership };
                     self.leader = Some((at, leadership));
                 }
             }
@@ -209,10 +209,10 @@
                 self.round += 1;
                 let term = Ballot {
                     round: self.round,
-                    seat: at as u8,
+                    voter: at as u8,
                     incarnation: Incarnation(self.now.as_nanos() as u64),
                 };
-                self.leader = Some((at, Right { term, until: self.now + 1000 * MS }));
+                self.leader = Some((at, LeaderLease { term, until: self.now + 1000 * MS }));
             }
             _ => self.leader = None,
         }
@@ -235,12 +235,12 @@
                 }
                 Effect::Send { to, message } => {
                     let to = match to {
-                        To::Seat(voter) => usize::from(voter),
-                        To::Address(address) if address.port() >= OPERATOR => {
+                        Recipient::Voter(voter) => usize::from(voter),
+                        Recipient::Address(address) if address.port() >= OPERATOR => {
                             self.serve_chunk_to(at, message);
                             continue;
                         }
-                        To::Address(address) => usize::from(address.port()) - 1,
+                        Recipient::Address(address) => usize::from(address.port()) - 1,
                     };
                     self.send(at, to, message);
                 }
@@ -263,8 +263,8 @@
         let is_voter = from < self.voters();
         let is_grant_request = matches!(message, PolicyMessage::GrantRequest(_));
         let from_to = match is_voter && !is_grant_request {
-            true => To::Seat(from as u8),
-            false => To::Address(address(from)),
+            true => Recipient::Voter(from as u8),
+            false => Recipient::Address(address(from)),
         };
         let copies = if self.now < self.loss.1 && self.rng.generate_range(0..4) == 0 { 2 } else { 1 };
         for _ in 0..copies {
@@ -283,7 +283,7 @@
             let at = (offset as usize).min(bytes.len());
             let end = (at + bramblewharf_policy::message::CHUNK_BYTES).min(bytes.len());
             let (total_bytes, bytes) = (bytes.len() as u32, bytes[at..end].to_vec());
-            let from_to = To::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
+            let from_to = Recipient::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
             self.gateways[of].inbox.push((
                 self.now + MS,
                 from_to,
@@ -301,7 +301,7 @@
     }
 
     fn offer(&mut self, digest: Digest, wait_ms: u64) {
-        let from = To::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
+        let from = Recipient::Address(SocketAddr::from((Ipv4Addr::LOCALHOST, OPERATOR)));
         for voter in 0..self.voters() {
             self.gateways[voter].inbox.push((
                 self.now + MS,
