--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,5 @@
-//! Types that the scheduler and its caller exchange: the site's configuration, incoming events and outgoing actions.
+//! Types that the scheduler and its caller exchange: the site's configuration, incoming events and outgoing
+//! actions.
 
 pub use bramblewharf_budgets::usage::{Room, Took};
 pub use bramblewharf_turns::{Said, Word};
@@ -295,11 +296,12 @@
 pub enum Event {
     /// The list of engines, or changes to it.
     EngineList(ListKind, Vec<EngineEntry>),
-    /// The client of the name service has just processed all answers; with the time at which the request of its last usable
-    /// answer was sent. From the first such event on the list is valid for a limited time only.
+    /// The client of the name service has just processed all answers; with the time at which the request of
+    /// its last usable answer was sent. From the first such event on the list is valid for a limited time
+    /// only.
     ListPolled(Option<Duration>),
-    /// The name service returned a list that may be older than the one in force, with these engines up. Counts until the list in
-    /// force is confirmed or replaced.
+    /// The name service returned a list that may be older than the one in force, with these engines up.
+    /// Counts until the list in force is confirmed or replaced.
     ListConflict(Vec<Id>),
     /// The list is no longer polled: it stays valid as it is.
     ListPollingStopped,
@@ -307,7 +309,8 @@
     Statement(NewStatement),
     /// The client has disconnected for good.
     ClientDisconnected(Id),
-    /// The client stopped (`true`) or resumed (`false`) polling for its statement: meanwhile nothing new is sent for it.
+    /// The client stopped (`true`) or resumed (`false`) polling for its statement: meanwhile nothing new is
+    /// sent for it.
     ClientAway(Id, bool),
     /// The gateway shuts down: executions that start from now on have to be over by then.
     Closing(Duration),
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,6 +1,7 @@
-//! The scheduler: all decisions of one gateway. Create a `Scheduler` from the configuration of its site, pass it each `Event` with
-//! the time since the start, and carry out the `Action`s it returns, in order. It does no I/O and shares no state. Its types are in
-//! `interface.rs`; the reasons for its decisions are in `docs/design.md`.
+//! The scheduler: all decisions of one gateway. Create a `Scheduler` from the configuration of its site, pass
+//! it each `Event` with the time since the start, and carry out the `Action`s it returns, in order. It does
+//! no I/O and shares no state. Its types are in `interface.rs`; the reasons for its decisions are in
+//! `docs/design.md`.
 
 mod list_lease;
 mod send_guard;
@@ -18,15 +19,16 @@
 use std::ops::Deref;
 use std::time::Duration;
 
-// A gateway's slice of an engine is its share of the engine's threads. Slices are fractional where one is less than the heaviest
-// statement weighs; load is then taken from the engines' reports instead of from this gateway's own sends.
+// A gateway's slice of an engine is its share of the engine's threads. Slices are fractional where one is
+// less than the heaviest statement weighs; load is then taken from the engines' reports instead of from this
+// gateway's own sends.
 
 /// Threads a core that all gateways together use of an engine.
 const THREADS_PER_CORE: f64 = 3.0;
 /// Slices that each gateway may use of an engine that shows no pressure.
 const UNPRESSURED_SLICES: f64 = 1.5;
-/// Share of the slices that any statement may fill: with whole slices, with fractional ones. The rest is for statements of high
-/// value density.
+/// Share of the slices that any statement may fill: with whole slices, with fractional ones. The rest is for
+/// statements of high value density.
 const BASE_FILL: (f64, f64) = (0.8, 0.7);
 /// Least share that a statement may fill whose SLO time has passed.
 const LATE_FILL: f64 = 0.2;
@@ -65,7 +67,8 @@
 const READMIT_FAULT_LEVEL: f64 = 0.2;
 /// First and longest pause between two probes of an ejected engine.
 const EJECTION_PAUSE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(4));
-/// Of the gateways that share reports of an unhealthy engine, one in this many may probe it in each such span.
+/// Of the gateways that share reports of an unhealthy engine, one in this many may probe it in each such
+/// span.
 const PROBE_ROTATION: (Duration, u64) = (Duration::from_millis(500), 64);
 
 /// Multiple of the expected time after which an engine without any answer counts as silent.
@@ -75,7 +78,8 @@
 /// Lower bound of both: shorter times can't be told from late timers and scheduling pauses.
 const MIN_WAIT: Duration = Duration::from_millis(100);
 
-/// Part of the deduplication window that a repeat may need to arrive: TCP retransmits a lost segment after 200 ms.
+/// Part of the deduplication window that a repeat may need to arrive: TCP retransmits a lost segment after
+/// 200 ms.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(250);
 /// Built-in budget for further executions, in addition to one that the site states.
 const BUILT_IN_RETRY_BUDGET: RetryBudget =
@@ -83,8 +87,8 @@
 
 /// Share of a cold engine's limit that is used.
 const COLD_SAFETY_SHARE: f64 = 0.9;
-/// With fractional slices: share of a cold engine's limit for light statements, as up to one and a half times that may fall into
-/// one window.
+/// With fractional slices: share of a cold engine's limit for light statements, as up to one and a half times
+/// that may fall into one window.
 const COLD_LIGHT_SHARE: f64 = 0.35;
 /// Share of its cores that a warm engine surely works at.
 const WARM_WORK_PER_CORE: f64 = 0.75;
@@ -109,6 +113,7 @@
 /// Memory that is asked for, over the corrected estimate.
 const MEMORY_MARGIN: f64 = 2.0;
 
+/// Interval of the periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Mark of the timer that drives the ticks.
 const TICK_MARK: u64 = 0;
@@ -169,7 +174,8 @@
     ordering_queues: BTreeMap<Id, OrderingQueue>,
     /// When statements were accepted; entries expire with the window of the retry budget.
     accepted: VecDeque<Duration>,
-    /// When further executions were sent, and whether they count against the built-in budget; entries expire likewise.
+    /// When further executions were sent, and whether they count against the built-in budget; entries expire
+    /// likewise.
     retries: VecDeque<(Duration, bool)>,
     /// When the next tick is due.
     tick_due: Duration,
@@ -177,6 +183,7 @@
     skipped_judging: bool,
     /// Engine of the last send, where the next selection starts.
     last_engine: Option<Id>,
+    /// When this scheduler was created.
     started_at: Duration,
     /// During the shutdown: when executions have to be over.
     closes_at: Option<Duration>,
@@ -200,9 +207,11 @@
     list_lease: ListLease,
     /// Statements that wait until the answers of the name service have been read.
     awaiting_list: Vec<Id>,
-    /// While the last list heard may be older than the one in force: the engines that it has up.
+    /// While the last list received may be older than the one in force: the engines that it has up.
     conflicting_list: Option<BTreeSet<Id>>,
+    /// What is left of this gateway's parts of the fleet's budgets.
     budget_headroom: Room,
+    /// Actions of the event at hand.
     actions: Vec<Action>,
     /// Why the statement at hand has no engine.
     refusal: Refusal,
@@ -347,8 +356,8 @@
         self.subset.looked.get()
     }
 
-    /// Selects an engine by round robin, starting after the last one used: of the engines that fit, the first with the lowest
-    /// penalty.
+    /// Selects an engine by round robin, starting after the last one used: of the engines that fit, the first
+    /// with the lowest penalty.
     fn select_engine(&mut self, now: Duration, id: &Id) -> Input {
         let statement = &self.statements[id];
         if statement.is_in_flight() {
@@ -390,8 +399,8 @@
         fit.map_or(Input::NoEngine, |engine| self.send(now, id, engine))
     }
 
-    /// Whether the engine accepts traffic and its residual covers the weight. A statement heavier than the whole capacity fits
-    /// where nothing of this gateway runs.
+    /// Whether the engine accepts traffic and its residual covers the weight. A statement heavier than the
+    /// whole capacity fits where nothing of this gateway runs.
     fn fits(
         &self,
         now: Duration,
@@ -416,8 +425,8 @@
         load + weight <= capacity || (weight > capacity && engine.is_idle())
     }
 
-    /// Load of an engine: this gateway's executions in flight; with fractional slices, the reported load, decayed by its age, and
-    /// what this gateway has sent since.
+    /// Load of an engine: this gateway's executions in flight; with fractional slices, the reported load,
+    /// decayed by its age, and what this gateway has sent since.
     fn load(&self, now: Duration, engine: &Engine) -> f64 {
         if !self.fractional_slices || now < engine.warm_at {
             return engine.load;
@@ -429,9 +438,10 @@
         (reported * engine.cores + engine.sent_since_report * engine.part.sharers.sqrt()).max(engine.load)
     }
 
-    /// Limits traffic to engines that fail, refuse, reset or fall silent, whatever the cause. An ejected engine is probed with one
-    /// statement that may be repeated in each pause; a probe that completes allows the next at once. An engine that other gateways
-    /// report as unhealthy is probed by a few gateways at a time, until these report it healthy.
+    /// Limits traffic to engines that fail, refuse, reset or fall silent, whatever the cause. An ejected
+    /// engine is probed with one statement that may be repeated in each pause; a probe that completes allows
+    /// the next at once. An engine that other gateways report as unhealthy is probed by a few gateways at a
+    /// time, until these report it healthy.
     fn may_use(&self, now: Duration, engine: &Engine, effect: Effect) -> bool {
         let unhealthy = self.signals.is_ill(now, engine.mark);
         if engine.ejected.is_none() && !unhealthy {
@@ -445,8 +455,10 @@
         effect != Effect::NonIdempotent && (may || self.signals.is_well(now, engine.mark))
     }
 
-    /// Penalty of an engine that fits. From the lowest weight to the highest: another zone where crossing is priced, load, a load
-    /// that holds the table group for a statement that would wait for it, an unhealthy engine for a further execution.
+    /// Penalty of an engine that fits. From the lowest weight to the highest: another zone where crossing is
+    /// priced, load, a load that holds the table group for a statement that would wait for it, an unhealthy
+    /// engine for a further execution. With fractional slices a gateway knows few of the others' loads, so
+    /// loads prefer the group's home engines, and statements that would wait avoid them.
     fn penalty(&self, now: Duration, statement: &Statement, engine: &Engine) -> u32 {
         let used = (self.load(now, engine) + self.weight(statement)) / self.capacity(now, engine);
         let steps = (used * LOAD_STEPS).ceil().clamp(0.0, 99.0) as u32;
@@ -467,8 +479,8 @@
         self.workload_stats[statement.request.workload].config.threads * statement.coefficient
     }
 
-    /// This gateway's share of an engine: from the fleet's membership, else from the configuration; among the gateways that share
-    /// the engine at most an equal one.
+    /// This gateway's share of an engine: from the fleet's membership, else from the configuration; among the
+    /// gateways that share the engine at most an equal one.
     fn share(&self, now: Duration, engine: &Engine) -> f64 {
         let (all, sharers) = (f64::from(self.site.gateways.max(1)), engine.part.sharers);
         let share = self.budget_headroom.share(now).unwrap_or(1.0 / all) * (all / sharers);
@@ -483,8 +495,9 @@
         engine.cores * THREADS_PER_CORE * self.share(now, engine)
     }
 
-    /// When at least half of the engines look unhealthy, and most of the others are not responsive either, the cause is assumed to
-    /// be common and no engine is avoided. A lost zone is no common cause while the other engines are responsive.
+    /// When at least half of the engines look unhealthy, and most of the others are not responsive either,
+    /// the cause is assumed to be common and no engine is avoided. A lost zone is no common cause while the
+    /// other engines are responsive.
     fn failure_is_widespread(&self, now: Duration) -> bool {
         let live = self.subset.now().filter_map(|id| self.engines.get(id));
         let live = live.filter(|e| e.entry.state == EngineState::In);
@@ -669,11 +682,13 @@
         sum(|s| s.accepted * s.elapsed.0 * s.config.threads) / sum(|s| s.accepted * s.elapsed.0).max(1e-9)
     }
 
+    /// Records that an engine has answered something, so that it doesn't count as silent.
     fn record_sign_of_life(&mut self, now: Duration, engine: &Id) {
         self.engines.get_mut(engine).into_iter().for_each(|engine| engine.last_heard = now);
     }
 
-    /// Changes the number of this gateway's loads of a table group on an engine, and notifies other gateways where that is allowed.
+    /// Changes the number of this gateway's loads of a table group on an engine, and notifies other gateways
+    /// where that is allowed.
     fn adjust_own_loads(&mut self, now: Duration, id: &Id, group: Option<u64>, change: i32) {
         let (Some(group), Some(engine)) = (group, self.engines.get_mut(id)) else { return };
         let count = engine
@@ -695,15 +710,16 @@
         }
     }
 
-    /// Delay that a rejection advises, spread at random around the time that a statement of the workload takes.
+    /// Delay that a rejection advises, spread at random around the time that a statement of the workload
+    /// takes.
     pub fn retry_in(&mut self, workload: usize) -> Option<Duration> {
         let usual = self.workload_stats.get(workload).map_or(0.0, |stats| stats.elapsed.0);
         let spread = Duration::from_secs_f64(usual).mul_f32(0.5 + self.rng.generate::<f32>());
         self.site.max_retry_after.map(|most| most.min(spread))
     }
 
-    /// Gives the final answer at once: a rejection with advice on when to retry if a retry is safe, else an abort. A retry is not
-    /// safe if engines may no longer remember the statement when it arrives.
+    /// Gives the final answer at once: a rejection with advice on when to retry if a retry is safe, else an
+    /// abort. A retry is not safe if engines may no longer remember the statement when it arrives.
     fn give_up(&mut self, now: Duration, id: &Id) {
         let retry_in = self.retry_in(self.statements[id].request.workload);
         let statement = &self.statements[id];
@@ -734,7 +750,8 @@
         self.remove_if_done(now, id);
     }
 
-    /// Removes a statement that is over and has nothing in flight; the next of its ordering queue becomes ready.
+    /// Removes a statement that is over and has nothing in flight; the next of its ordering queue becomes
+    /// ready.
     fn remove_if_done(&mut self, now: Duration, id: &Id) {
         if self.statements.get(id).is_none_or(|s| s.state != StatementState::Done || s.is_in_flight()) {
             return;
@@ -747,6 +764,7 @@
         }
     }
 
+    /// Applies a list of engines, or changes to it.
     fn update_list(&mut self, now: Duration, kind: ListKind, entries: Vec<EngineEntry>) {
         if kind == ListKind::Failed {
             (self.list_failed, self.list_subscribed) = (true, false);
@@ -783,9 +801,9 @@
         self.update_subset();
     }
 
-    /// Renews the lease on the list, so that no list is used that may hide a drain: name service silent, its answers lost, or this
-    /// process paused. Statements that waited for the answers are sent now. Costs availability if the name service is down while
-    /// nothing drains.
+    /// Renews the lease on the list, so that no list is used that may hide a drain: name service silent, its
+    /// answers lost, or this process paused. Statements that waited for the answers are sent now. Costs
+    /// availability if the name service is down while nothing drains.
     fn list_polled(&mut self, now: Duration, confirmed: Option<Duration>) {
         self.list_lease.renew(now, confirmed);
         if confirmed.is_some() {
@@ -796,7 +814,8 @@
         }
     }
 
-    /// Periodic work: requests the list, finds silent engines, enforces deadlines, unblocks queues and drops what has expired.
+    /// Periodic work: requests the list, finds silent engines, enforces deadlines, unblocks queues and drops
+    /// what has expired.
     fn tick(&mut self, now: Duration) {
         self.actions.push(Action::Timer { mark: TICK_MARK, delay: TICK_INTERVAL });
         if self.list_due.take_if(|due| now >= *due).is_some() {
@@ -841,8 +860,8 @@
         self.fractional_slices = slices_are_fractional(&self.site, f64::from(self.subset.most_sharers()));
     }
 
-    /// Engines that the same workloads may use form a stratum, by zone where crossing is priced: each gateway's subset has some of
-    /// each stratum.
+    /// Engines that the same workloads may use form a stratum, by zone where crossing is priced: each
+    /// gateway's subset has some of each stratum.
     fn stratum(&self, entry: &EngineEntry) -> u64 {
         let zone = if self.site.cross_zone_priced { &*entry.zone } else { "" };
         let misplaced =
@@ -850,8 +869,8 @@
         misplaced.fold(mix(0, zone), mix)
     }
 
-    /// Detects a pause of this gateway, which must not be taken for silence of engines: the time doesn't count, and no engine is
-    /// judged before what arrived meanwhile is processed, unless every tick is late.
+    /// Detects a pause of this gateway, which must not be taken for silence of engines: the time doesn't
+    /// count, and no engine is judged before what arrived meanwhile is processed, unless every tick is late.
     fn was_paused(&mut self, now: Duration) -> bool {
         let pause = now.saturating_sub(std::mem::replace(&mut self.tick_due, now + TICK_INTERVAL));
         if pause < TICK_INTERVAL / 5 {
@@ -867,8 +886,8 @@
         self.skipped_judging
     }
 
-    /// Ejects engines that accept work and answer nothing (hung, vanished, cut off), and cancels what may be repeated elsewhere.
-    /// May eject a healthy engine that runs long statements only.
+    /// Ejects engines that accept work and answer nothing (hung, vanished, cut off), and cancels what may be
+    /// repeated elsewhere. May eject a healthy engine that runs long statements only.
     fn eject_silent_engines(&mut self, now: Duration) {
         let running = |s: &&Statement| s.state == StatementState::Running;
         let silent = |x: &Execution| {
@@ -956,7 +975,8 @@
     site.workloads.iter().any(|w| w.threads > slice)
 }
 
-/// Executions that a statement may have: two for the least important workload, the site's limit for the most important.
+/// Executions that a statement may have: two for the least important workload, the site's limit for the most
+/// important.
 fn executions_by_importance(share: f64, limit: usize) -> usize {
     let most = limit.max(1) as f64;
     (2.0 + (most - 2.0) * share).floor().clamp(1.0, most) as usize
--- a/src/scheduler/send_guard.rs
+++ b/src/scheduler/send_guard.rs
@@ -1,5 +1,5 @@
-//! The send guard: every execution, first or further, has to pass it when it is decided and again right before its first byte is
-//! sent. Each rule is a reason against a send.
+//! The send guard: every execution, first or further, has to pass it when it is decided and again right
+//! before its first byte is sent. Each rule is a reason against a send.
 
 use super::*;
 
@@ -58,8 +58,8 @@
         first.or_else(|| self.forbids_at_any_time(now, statement, &statement.executions, to))
     }
 
-    /// Repeats the check right before the first byte of an execution is sent: events that arrived while a connection was being
-    /// established or a cancel was pending revoke the decision, and nothing has run.
+    /// Repeats the check right before the first byte of an execution is sent: events that arrived while a
+    /// connection was being established or a cancel was pending revoke the decision, and nothing has run.
     pub fn recheck(&self, now: Duration, id: &Id, execution: usize) -> Option<Rule> {
         let statement = self.statements.get(id);
         let x = statement
@@ -121,8 +121,9 @@
         })
     }
 
-    /// Where the list is polled, one that is too old may hide a drain. While polling fails, an engine that looks unhealthy may be
-    /// draining or gone, however many do. Costs availability if engines recover and the list doesn't.
+    /// Where the list is polled, one that is too old may hide a drain. While polling fails, an engine that
+    /// looks unhealthy may be draining or gone, however many do. Costs availability if engines recover and
+    /// the list doesn't.
     fn list_is_current(&self, now: Duration, to: &Engine) -> bool {
         let max_age = self.site.list_poll_interval * if self.list_failed { 4 } else { 1 };
         let may_be_gone = self.list_failed && to.is_unhealthy(now, &self.signals);
@@ -130,19 +131,21 @@
             && (!self.site.list_is_polled || self.list_subscribed || now < self.list_updated_at + max_age)
     }
 
-    /// Protects against a name service that restarts its numbering, or whose replicas differ: an engine has to be up by both
-    /// lists. Delays traffic to an engine that has just joined if an old list arrives late.
+    /// Protects against a name service that restarts its numbering, or whose replicas differ: an engine has
+    /// to be up by both lists. Delays traffic to an engine that has just joined if an old list arrives late.
     fn is_in_conflict(&self, to: &Engine) -> bool {
         self.conflicting_list.as_ref().is_some_and(|up| !up.contains(&to.entry.id))
     }
 
-    /// Limits the work sent to a cold engine in the last window to this gateway's share of what the engine withstands.
+    /// Limits the work sent to a cold engine in the last window to this gateway's share of what the engine
+    /// withstands.
     ///
-    /// With fractional slices, a rotation that each gateway computes alone decides who may send. Light statements: in each half
-    /// window, one statement each (more where fewer gateways share the engine) for as many gateways as the engine withstands.
-    /// Others: half of the limit as a whole to one gateway, in the first half of a slot of two windows, so that no window
-    /// overlaps two slots. What a previous process of this gateway sent is not known: an engine that started before this process
-    /// gets nothing until those sends have left the window.
+    /// With fractional slices, a rotation that each gateway computes alone decides who may send. Light
+    /// statements: in each half window, one statement each (more where fewer gateways share the engine) for
+    /// as many gateways as the engine withstands. Others: half of the limit as a whole to one gateway, in the
+    /// first half of a slot of two windows, so that no window overlaps two slots. What a previous process of
+    /// this gateway sent is not known: an engine that started before this process gets nothing until those
+    /// sends have left the window.
     fn slow_start_allows(&self, now: Duration, to: &Engine, stats: &WorkloadStats) -> bool {
         let (slow_start, work) = (&self.site.slow_start, stats.work.0);
         let warm = to.cores * WARM_WORK_PER_CORE * slow_start.window.as_secs_f64();
@@ -165,8 +168,9 @@
         now >= to.warm_at || (to.part.own && sends_known && has_headroom)
     }
 
-    /// At the very edge of its window a further execution still counts, an accepted statement no longer does. The built-in budget
-    /// protects engines from repeated work: a further execution after refused connections only (`free`) doesn't count against it.
+    /// At the very edge of its window a further execution still counts, an accepted statement no longer does.
+    /// The built-in budget protects engines from repeated work: a further execution after refused connections
+    /// only (`free`) doesn't count against it.
     pub(super) fn retry_budget_allows(&self, now: Duration, free: bool) -> bool {
         let within = |budget: &RetryBudget, built_in: bool| {
             let recent = self.retries.iter().filter(|(at, _)| *at + budget.window >= now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,5 @@
-//! State that the scheduler keeps about statements, workloads and engines. Decisions are made in `scheduler.rs`.
+//! State that the scheduler keeps about statements, workloads and engines. Decisions are made in
+//! `scheduler.rs`.
 
 use crate::interface::*;
 use bramblewharf_turns::{Mark, Part};
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Excludes a pause of this gateway from the engine's silence; returns the engine if the execution is in flight.
+    /// Excludes a pause of this gateway from the engine's silence; returns the engine if the execution is in
+    /// flight.
     pub(crate) fn exclude_pause(&mut self, now: Duration, pause: Duration) -> Option<Id> {
         self.silent_since = now.min(self.silent_since + pause);
         (self.state == ExecutionState::InFlight).then(|| self.engine.clone())
@@ -175,8 +177,8 @@
     pub(crate) ejected: Option<(Duration, Duration)>,
     pub(crate) last_heard: Duration,
     pub(crate) warm_at: Duration,
-    /// Loads that hold a table group here, by group and source, and until when that counts; expired entries are dropped at each
-    /// update.
+    /// Loads that hold a table group here, by group and source, and until when that counts; expired entries
+    /// are dropped at each update.
     pub(crate) group_loads: BTreeMap<(u64, u64), (u32, Duration)>,
     /// Work sent while the engine was cold; entries older than the rule's window are dropped at each send.
     pub(crate) cold_sends: VecDeque<(Duration, f64)>,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,6 @@
-//! The rule on cold engines over a simulated fleet: what all gateways together send to a cold engine, with uneven traffic, retries,
-//! gateways that restart without knowing what their previous process sent, and gateways configured with a different fleet size.
+//! The rule on cold engines over a simulated fleet: what all gateways together send to a cold engine, with
+//! uneven traffic, retries, gateways that restart without knowing what their previous process sent, and
+//! gateways configured with a different fleet size.
 
 mod common;
 use bramblewharf::interface::*;
@@ -14,7 +15,8 @@
 /// How long the engine is cold.
 const COLD: Duration = Duration::from_secs(10);
 
-/// Engines of 16 cores that start with 0.3 of their capacity and withstand twice that within each window of 2 s.
+/// Engines of 16 cores that start with 0.3 of their capacity and withstand twice that within each window of 2
+/// s.
 fn config(gateway: u32, gateways: u32) -> Site {
     let mut config = site(vec![workload(Effect::Idempotent)]);
     (config.gateway, config.gateways, config.max_executions) = (gateway, gateways, 3);
@@ -96,9 +98,9 @@
     ColdSends { most: most.max().unwrap_or(0), allowed, used }
 }
 
-/// Simulates the return of a zone: many cold engines, and gateways that each use a subset. Returns the fullest window of each cold
-/// engine and the limit. All warm engines refuse, so that subsets expand; with `differ`, some gateways have a shorter list, for which
-/// subsets are twice as wide.
+/// Simulates the return of a zone: many cold engines, and gateways that each use a subset. Returns the
+/// fullest window of each cold engine and the limit. All warm engines refuse, so that subsets expand; with
+/// `differ`, some gateways have a shorter list, for which subsets are twice as wide.
 fn zone_back(count: u32, engines: usize, seed: u64, differ: bool) -> (Vec<usize>, f64) {
     let mut rng = WyRand::new_seed(seed);
     let cold = |n: usize| n.is_multiple_of(3);
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -91,8 +91,8 @@
     assert!(sent.iter().any(|engine| &**engine == "e0"));
 }
 
-/// Model: in any order of answers and pauses, a send needs a confirmation by a request sent at most 1.75 s before, and answers read at
-/// most 250 ms before.
+/// Model: in any order of answers and pauses, a send needs a confirmation by a request sent at most 1.75 s
+/// before, and answers read at most 250 ms before.
 #[test]
 fn every_send_uses_a_fresh_list() {
     fn holds(steps: Vec<(u8, u16)>) -> bool {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -94,7 +94,8 @@
         violated
     }
 
-    /// Whether this gateway has sent a cold engine more in the last window than its share of what all gateways may send.
+    /// Whether this gateway has sent a cold engine more in the last window than its share of what all
+    /// gateways may send.
     fn exceeds_cold_share(&self, now: Duration, e: usize) -> bool {
         let (cold, started) = (&self.site.slow_start, self.engines[e].started);
         let sends = self.statements.iter().flat_map(|o| &o.attempts).filter(|x| x.engine == e);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -173,7 +173,8 @@
     assert!(engine_of(&send(&mut two)).is_none(), "both know that every engine has its two loads");
 }
 
-/// Without gossip, each of 300 gateways would detect by itself that an engine is silent, and probe it again and again.
+/// Without gossip, each of 300 gateways would detect by itself that an engine is silent, and probe it again
+/// and again.
 #[test]
 fn an_engine_reported_unhealthy_is_probed_by_few_gateways() {
     let mut config = site(vec![workload(Idempotent)]);
@@ -197,8 +198,8 @@
     assert!((1..=5).contains(&tried(2)), "{}", tried(2));
 }
 
-/// With fractional slices loads come from the engines' reports: an engine that stops reporting, or reports impossible values, must
-/// not take the others out of use.
+/// With fractional slices loads come from the engines' reports: an engine that stops reporting, or reports
+/// impossible values, must not take the others out of use.
 #[test]
 fn missing_or_wrong_reports_close_no_engine() {
     let mut config = site(vec![workload(Idempotent)]);
@@ -226,7 +227,8 @@
         let (away, _) = run(&|engine| Some(if **engine == *"e0" { lies } else { healthy }), None);
         assert!(away < 10, "one engine of three reports {lie}: {away} of 400 rejected");
     }
-    // Impossible work and memory: no statement is taken for heavier, and no more memory is asked for than allowed.
+    // Impossible work and memory: no statement is taken for heavier, and no more memory is asked for than
+    // allowed.
     let (away, _) = run(&|_| Some(healthy), Some((Duration::from_secs(1_000_000), 1e300)));
     assert_eq!(away, 0);
 }
@@ -416,8 +418,8 @@
     assert!(takes(&mut harness, 4000));
 }
 
-/// Result of a run in which some engines are lost: statements completed and rejected, sends to lost engines in the second half of
-/// the outage, and whether the lost engines are used again after they return.
+/// Result of a run in which some engines are lost: statements completed and rejected, sends to lost engines
+/// in the second half of the outage, and whether the lost engines are used again after they return.
 struct Loss {
     completed: usize,
     rejected: usize,
@@ -425,7 +427,8 @@
     back: bool,
 }
 
-/// One client sends `rounds` statements one after the other while engines below `lost` end them with `how` (`None`: never answer).
+/// One client sends `rounds` statements one after the other while engines below `lost` end them with `how`
+/// (`None`: never answer).
 fn lose(engines: usize, lost: usize, how: Option<Outcome>, rounds: usize) -> Loss {
     let mut harness = Harness::new(site(vec![workload(Idempotent)]), engines);
     let is_lost = |engine: &Id| engine[1..].parse::<usize>().unwrap() < lost;
@@ -473,7 +476,8 @@
                 let rounds = 400;
                 let Loss { completed, rejected, wasted, back } = lose(engines, lost, how, rounds);
                 let case = format!("{lost} of {engines}, {how:?}: {completed} {rejected} {wasted}");
-                // A statement has four executions at most; failures may have run and count against the built-in retry budget.
+                // A statement has four executions at most; failures may have run and count against the
+                // built-in retry budget.
                 let learning = match how {
                     Some(Outcome::Refused) => lost / 2,
                     Some(_) => 4 * lost,
@@ -596,7 +600,8 @@
     assert!((0..60).all(|_| !harness.advance(50).contains(&cancel)));
 }
 
-/// The send guard is checked again right before the first byte is sent: events since the decision can revoke it.
+/// The send guard is checked again right before the first byte is sent: events since the decision can revoke
+/// it.
 #[test]
 fn events_since_a_decision_can_revoke_it() {
     use bramblewharf::scheduler::Rule;
@@ -618,7 +623,8 @@
     drained.iter_mut().filter(|e| e.id == engine).for_each(|e| e.state = EngineState::Draining);
     harness.event(Event::EngineList(ListKind::Snapshot, drained));
     assert_eq!(harness.scheduler.recheck(harness.now, &id, 0), Some(Rule::Drain));
-    // The deduplication window, 2 s here, starts with the first execution that may have run and includes transit.
+    // The deduplication window, 2 s here, starts with the first execution that may have run and includes
+    // transit.
     let (mut harness, id, engine) = start();
     assert!(engine_of(&harness.end(&id, 0, &engine, Outcome::Error)).is_some());
     assert_eq!(harness.scheduler.recheck(harness.now + ms(1700), &id, 1), None);
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,4 +1,5 @@
-//! Selection within a subset: which engines a gateway of a large fleet examines, and which it can still use whatever is lost.
+//! Selection within a subset: which engines a gateway of a large fleet examines, and which it can still use
+//! whatever is lost.
 
 mod common;
 use bramblewharf::interface::*;
@@ -27,7 +28,8 @@
     harness
 }
 
-/// Submits statements one after the other, each execution ending at once with `outcome`; returns the engine that completed each.
+/// Submits statements one after the other, each execution ending at once with `outcome`; returns the engine
+/// that completed each.
 fn completed_by(
     harness: &mut Harness,
     workload: usize,
@@ -120,7 +122,8 @@
     }
 }
 
-/// Different gateways have different subsets, so that a loss of engines does not hit neighbouring gateways alike.
+/// Different gateways have different subsets, so that a loss of engines does not hit neighbouring gateways
+/// alike.
 #[test]
 fn subsets_of_neighbouring_gateways_differ() {
     let of = |gateway| {
@@ -134,7 +137,8 @@
     }
 }
 
-/// A workload that only a few engines may run can use them from every gateway, also once all but one of them are lost.
+/// A workload that only a few engines may run can use them from every gateway, also once all but one of them
+/// are lost.
 #[test]
 fn a_rare_kind_of_engine_is_in_every_subset() {
     for gateway in [0, 5, 700, 1899] {
@@ -175,8 +179,8 @@
     }
 }
 
-/// Most engines of a subset refuse: the gateway expands its subset at once, uses other engines, and returns to the original subset
-/// after they recover.
+/// Most engines of a subset refuse: the gateway expands its subset at once, uses other engines, and returns
+/// to the original subset after they recover.
 #[test]
 fn a_subset_expands_after_a_loss_and_shrinks_after_recovery() {
     let mut harness = harness(fleet(42, 1900), list(3300));
@@ -234,8 +238,8 @@
     }
 }
 
-/// A cold engine outside of a gateway's own subset gets nothing from it, however far the subset expands: its limit is divided among
-/// the gateways that share it.
+/// A cold engine outside of a gateway's own subset gets nothing from it, however far the subset expands: its
+/// limit is divided among the gateways that share it.
 #[test]
 fn a_cold_engine_outside_of_the_own_subset_gets_nothing() {
     let mut site = fleet(42, 1900);
@@ -259,7 +263,8 @@
     assert!(at.is_none_or(|at| own.contains(&at)));
 }
 
-/// A configuration with no gateways, or with fewer than this gateway's index, must not make the scheduler panic.
+/// A configuration with no gateways, or with fewer than this gateway's index, must not make the scheduler
+/// panic.
 #[test]
 fn inconsistent_gateway_numbers_do_not_panic() {
     for (gateway, gateways) in [(0, 0), (7, 0), (5000, 1900), (u32::MAX, 1900), (0, u32::MAX)] {
