--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -457,8 +457,8 @@
 
     /// Penalty of an engine that fits. From the lowest weight to the highest: another zone where crossing is
     /// priced, load, a load that holds the table group for a statement that would wait for it, an unhealthy
-    /// engine for a further execution. With fractional slices a gateway knows few of the others' loads, so
-    /// loads prefer the group's home engines, and statements that would wait avoid them.
+    /// engine for a further execution. With fractional slices, loads prefer the home engines of their table
+    /// group, and statements that would wait avoid them.
     fn penalty(&self, now: Duration, statement: &Statement, engine: &Engine) -> u32 {
         let used = (self.load(now, engine) + self.weight(statement)) / self.capacity(now, engine);
         let steps = (used * LOAD_STEPS).ceil().clamp(0.0, 99.0) as u32;
