--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -168,7 +168,7 @@
         Measure::Engines,
     ];
     assert_eq!(measures, expected);
-    assert_eq!(terms.start.table, 8_085_830_019_973_740_442);
+    assert_eq!(terms.start.table_digest, 8_085_830_019_973_740_442);
 }
 
 /// Killed also where a check fails.
