--- a/crates/budgets/src/divide/tests.rs
+++ b/crates/budgets/src/divide/tests.rs
@@ -1,65 +1,65 @@
 use super::*;
 use proptest::prelude::*;
 
-fn asks(needs: &[u64]) -> Vec<Asks> {
-    needs.iter().map(|need| Asks { need: *need, ..Asks::default() }).collect()
+fn requests(needs: &[u64]) -> Vec<ShareRequest> {
+    needs.iter().map(|need| ShareRequest { need: *need, ..ShareRequest::default() }).collect()
 }
 
 #[test]
-fn a_need_that_walks_takes_what_the_others_leave() {
+fn a_single_large_need_gets_what_the_others_do_not_need() {
     for at in 0..4 {
         let mut needs = [10_000; 4];
         needs[at] = 900_000;
-        let parts = parts(1_000_000, 1000, &asks(&needs), &mut Credits::new());
-        assert!(parts[at] >= 900_000, "{parts:?}");
+        let shares = allocate(1_000_000, 1000, &requests(&needs), &mut Credits::new());
+        assert!(shares[at] >= 900_000, "{shares:?}");
     }
 }
 
 #[test]
-fn a_budget_smaller_than_the_fleet_goes_round() {
+fn a_budget_smaller_than_the_fleet_rotates() {
     let mut credits = Credits::new();
-    let mut had = [0; 12];
+    let mut totals = [0; 12];
     for _ in 0..120 {
-        let parts = parts(3000, 1000, &asks(&[5000; 12]), &mut credits);
-        assert_eq!(parts.iter().sum::<u64>(), 3000);
-        had.iter_mut().zip(&parts).for_each(|(had, part)| *had += part / 1000);
+        let shares = allocate(3000, 1000, &requests(&[5000; 12]), &mut credits);
+        assert_eq!(shares.iter().sum::<u64>(), 3000);
+        totals.iter_mut().zip(&shares).for_each(|(total, share)| *total += share / 1000);
     }
-    assert!(had.iter().all(|had| (29..=31).contains(had)), "{had:?}");
+    assert!(totals.iter().all(|total| (29..=31).contains(total)), "{totals:?}");
 }
 
 #[test]
-fn importance_counts_only_among_those_in_want() {
-    let mut asks = asks(&[600_000, 600_000, 30_000]);
-    asks[0].importance = 2;
-    let parts = parts(630_000, 1000, &asks, &mut Credits::new());
-    assert_eq!(parts, [400_000, 200_000, 30_000]);
+fn importance_counts_only_in_contention() {
+    let mut requests = requests(&[600_000, 600_000, 30_000]);
+    requests[0].importance = 2;
+    let shares = allocate(630_000, 1000, &requests, &mut Credits::new());
+    assert_eq!(shares, [400_000, 200_000, 30_000]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
-    /// Never more than the pool; nobody in want beside a greater part of equal importance than its own.
+    /// Shares never exceed the pool, and no unmet request has a smaller share than another of equal importance.
     #[test]
-    fn parts_add_up_and_are_fair(
+    fn shares_add_up_and_are_fair(
         pool in 0u64..2_000_000,
         quantum in 1u64..2000,
         needs in proptest::collection::vec((0u64..500_000, 1u64..4, 0u64..500_000), 1..40),
         rounds in 1usize..5,
     ) {
-        let asks: Vec<Asks> =
-            needs.iter().map(|(need, importance, has)| Asks { need: *need, importance: *importance, has: *has }).collect();
+        let requests: Vec<ShareRequest> =
+            needs.iter().map(|(need, importance, held)| ShareRequest { need: *need, importance: *importance, held: *held }).collect();
         let mut credits = Credits::new();
         for _ in 0..rounds {
-            let parts = parts(pool, quantum, &asks, &mut credits);
-            prop_assert!(parts.iter().sum::<u64>() <= pool);
-            for (one, other) in (0..asks.len()).flat_map(|a| (0..asks.len()).map(move |b| (a, b))) {
-                if asks[one].importance == asks[other].importance && parts[one] + quantum <= asks[one].need {
-                    prop_assert!(parts[other] <= parts[one] + 2 * quantum, "{} {}", parts[one], parts[other]);
+            let shares = allocate(pool, quantum, &requests, &mut credits);
+            prop_assert!(shares.iter().sum::<u64>() <= pool);
+            for (one, other) in (0..requests.len()).flat_map(|a| (0..requests.len()).map(move |b| (a, b))) {
+                if requests[one].importance == requests[other].importance && shares[one] + quantum <= requests[one].need {
+                    prop_assert!(shares[other] <= shares[one] + 2 * quantum, "{} {}", shares[one], shares[other]);
                 }
             }
-            let wanted: u64 = asks.iter().map(|a| a.need).sum();
-            if wanted >= pool {
-                let unused = pool - parts.iter().sum::<u64>();
-                prop_assert!(unused < quantum || asks.iter().zip(&parts).all(|(a, p)| *p >= a.need), "{unused}");
+            let total_need: u64 = requests.iter().map(|r| r.need).sum();
+            if total_need >= pool {
+                let unused = pool - shares.iter().sum::<u64>();
+                prop_assert!(unused < quantum || requests.iter().zip(&shares).all(|(r, s)| *s >= r.need), "{unused}");
             }
         }
     }
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,21 +1,21 @@
-//! Budgets of a whole fleet. `divide` works out each gateway's part of what is there, `usage` counts what a gateway has in use
-//! of its part and tells what it needs. Neither does I/O or reads a clock, and neither decides on a statement: that is the
-//! module's, which is told what is left.
+//! Budgets shared by a whole fleet. `divide` computes each gateway's share, `usage` counts what a gateway has in use of its
+//! share and computes its need. Neither does I/O or reads a clock, and neither decides on a statement: the module does, which
+//! is given the headroom.
 
 pub mod divide;
 pub mod scope;
 pub mod time;
 pub mod usage;
 
-pub use divide::{parts, Asks, Credits};
-pub use scope::{Budget, Claim, Measure, Scope};
-pub use time::{Patience, UNSEEN};
-pub use usage::{Permits, Room, Usage};
+pub use divide::{allocate, Credits, ShareRequest};
+pub use scope::{Budget, Demand, Measure, Scope};
+pub use time::{ActiveClock, MAX_GAP};
+pub use usage::{AdmissionCheck, Headroom, Usage};
 
-/// Figures of budgets are whole numbers of thousandths, so that parts never sum to more than the whole by rounding.
-pub const GRAIN: u64 = 1000;
+/// Milliunits in one unit. Amounts of budgets are integers, so that rounding never makes shares exceed the total.
+pub const UNIT: u64 = 1000;
 
-/// Thousandths of a figure, rounded up: what is taken is never counted for less than it is.
-pub fn grains(figure: f64) -> u64 {
-    (figure.max(0.0) * GRAIN as f64).ceil().min(u64::MAX as f64 / 4.0) as u64
+/// An amount in milliunits, rounded up, so that usage is never counted too low.
+pub fn milliunits(amount: f64) -> u64 {
+    (amount.max(0.0) * UNIT as f64).ceil().min(u64::MAX as f64 / 4.0) as u64
 }
--- a/crates/budgets/src/time.rs
+++ b/crates/budgets/src/time.rs
@@ -1,36 +1,38 @@
-//! Two ways to count time. One's own rights end by the clock as it is. Others' rights, which one must not end too early, end by
-//! a patient clock: it passes over what this process slept through or its clock jumped, for then it can't have heard them.
+//! A clock for the expiry of others' grants. A gateway's own grants end by the clock as it is. Those of others must not be
+//! ended too early: they end by a clock that leaves out the time in which this process was suspended or its clock jumped,
+//! since it can't have received their messages then.
 
 use std::time::Duration;
 
-/// More than this between two looks counts as nothing; a jump by less can't be told from time that passed, so whatever has to
-/// last is made longer by as much.
-pub const UNSEEN: Duration = Duration::from_millis(200);
+/// A longer gap between two readings is not counted. A shorter jump can't be told from time that passed, so whatever has to
+/// last is extended by as much.
+pub const MAX_GAP: Duration = Duration::from_millis(200);
 
+/// A clock that counts only the time in which this process has read it regularly.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Patience {
+pub struct ActiveClock {
     last: Option<Duration>,
-    patient: Duration,
+    active: Duration,
 }
 
-/// A clock that went back: nothing one holds can be trusted to end in time.
+/// The clock went backwards: nothing that this process holds can be trusted to end in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WentBack;
+pub struct ClockRegression;
 
-impl Patience {
-    /// Takes the clock as it is now; `any`: long gaps count too, as they must not.
-    pub fn look(&mut self, now: Duration, any: bool) -> Result<(), WentBack> {
+impl ActiveClock {
+    /// Advances to a reading of the clock. `count_gaps` also counts long gaps, which only a seeded fault does.
+    pub fn advance(&mut self, now: Duration, count_gaps: bool) -> Result<(), ClockRegression> {
         let last = self.last.replace(now).unwrap_or(now);
-        let Some(passed) = now.checked_sub(last) else { return Err(WentBack) };
-        if any || passed <= UNSEEN {
-            self.patient += passed;
+        let Some(passed) = now.checked_sub(last) else { return Err(ClockRegression) };
+        if count_gaps || passed <= MAX_GAP {
+            self.active += passed;
         }
         Ok(())
     }
 
-    /// What others' rights are counted by.
+    /// The active time so far, by which the expiry of others' grants is counted.
     pub fn now(&self) -> Duration {
-        self.patient
+        self.active
     }
 }
 
--- a/crates/budgets/src/usage.rs
+++ b/crates/budgets/src/usage.rs
@@ -1,455 +1,473 @@
-//! What one gateway has in use of its parts, what is left of them, and what it needs.
+//! What one gateway has in use of its shares, its headroom, and its need.
 //!
-//! A part is a floor, had for ever from a stated time on, and leave, which ends by itself. Leave is given (`lease`) by whoever
-//! keeps the fleet's budgets; without it a gateway goes on by its floors. What has ended at an engine is free at once; what may
-//! yet run there unheard, or begin there, counts until it is known that it doesn't or can't any more.
+//! A share consists of a floor, which a gateway has for good from a known time on, and a grant, which expires. Grants come
+//! from the fleet's leader (`set_grant`); without one a gateway works with its floors. What has ended at an engine is released
+//! at once; an execution that may still run there unobserved, or start there, counts until it is known not to be possible.
 
-use crate::scope::ENGINES;
-use crate::{Budget, Claim, Measure, Patience, GRAIN};
+use crate::scope::ENGINES_WHOLE_PPM;
+use crate::{ActiveClock, Budget, Demand, Measure, UNIT};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Kept of a need that is no longer there, at each telling: parts that are let go at once swing.
-const NEED_KEPT: u64 = 60;
-/// Asked for beyond what was in use at most, in percent: room for the next statements before the next telling.
-const HEADROOM: u64 = 25;
+/// How much of an earlier need is kept at each report: shares that are given up at once oscillate.
+const NEED_DECAY_PERCENT: u64 = 60;
+/// Asked for beyond the peak usage: headroom for the statements before the next report.
+const NEED_MARGIN_PERCENT: u64 = 25;
 
-/// What is left of one budget's part, as at a moment. It has its end in it, and whoever wants to send must show it the time.
+/// The headroom of one budget at a moment. It carries the expiry of the grant, so a check has to pass the time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Left {
+pub struct BudgetHeadroom {
     budget: Arc<Budget>,
     at: Duration,
     until: Duration,
-    /// Grains of the floor and of the leave, less what is in use; below zero where more is in use than the part is.
+    /// Milliunits of the floor and of the grant, less what is in use; below zero where usage exceeds the share.
     floor: i64,
-    leave: i64,
-    /// Grains a second that come back by themselves, and the most that are saved up.
+    grant: i64,
+    /// Of the floor and of the grant: milliunits a second that are refilled, and the burst limit.
     rate: (u64, u64),
-    most: (u64, u64),
+    burst_limit: (u64, u64),
 }
 
-impl Left {
-    /// Grains that may be taken now.
+impl BudgetHeadroom {
+    /// Milliunits that are free now.
     pub fn now(&self, now: Duration) -> i64 {
-        let grown = |left: i64, rate: u64, most: u64| {
-            let came = u128::from(rate) * now.saturating_sub(self.at).as_micros() / 1_000_000;
+        let refilled = |free: i64, rate: u64, burst_limit: u64| {
+            let refill = u128::from(rate) * now.saturating_sub(self.at).as_micros() / 1_000_000;
             if self.budget.measure.is_at_once() {
-                left
+                free
             } else {
-                (left + came as i64).min(most as i64)
+                (free + refill as i64).min(burst_limit as i64)
             }
         };
-        let floor = grown(self.floor, self.rate.0, self.most.0);
+        let floor = refilled(self.floor, self.rate.0, self.burst_limit.0);
         match now < self.until {
-            true => floor + grown(self.leave, self.rate.1, self.most.1),
+            true => floor + refilled(self.grant, self.rate.1, self.burst_limit.1),
             false => floor,
         }
     }
 }
 
-/// What else of the fleet's may speak against a send; whoever asks shows the time.
-pub trait Permits: std::fmt::Debug + Send + Sync {
-    fn permits(&self, now: Duration, claim: &Claim) -> bool;
+/// A further check of the fleet that a send has to pass, such as its policy.
+pub trait AdmissionCheck: std::fmt::Debug + Send + Sync {
+    fn permits(&self, now: Duration, demand: &Demand) -> bool;
 }
 
-/// What is left of all parts; an empty one permits everything.
+/// The headroom of all budgets; without budgets it permits everything.
 #[derive(Clone, Debug, Default)]
-pub struct Room {
-    left: Vec<Left>,
-    also: Option<Arc<dyn Permits>>,
+pub struct Headroom {
+    budgets: Vec<BudgetHeadroom>,
+    check: Option<Arc<dyn AdmissionCheck>>,
 }
 
-/// What a send took, by budget: handed back with its end.
-pub type Took = Vec<(usize, u64)>;
+/// What a send was charged: index of the budget and milliunits. It is passed back when the execution ends.
+pub type Charges = Vec<(usize, u64)>;
 
-impl Room {
+impl Headroom {
+    /// Whether there are no budgets.
     pub fn is_off(&self) -> bool {
-        self.left.is_empty()
+        self.budgets.is_empty()
     }
 
-    /// Whether every budget that counts such a send has room for it.
-    pub fn permits(&self, now: Duration, claim: &Claim) -> bool {
-        let has_room =
-            |left: &Left| left.budget.takes(claim).is_none_or(|takes| left.now(now) >= takes as i64);
-        self.left.iter().all(has_room) && self.also.as_ref().is_none_or(|also| also.permits(now, claim))
+    /// Whether every budget that counts such a send has headroom for it.
+    pub fn permits(&self, now: Duration, demand: &Demand) -> bool {
+        let fits = |headroom: &BudgetHeadroom| {
+            headroom.budget.amount_for(demand).is_none_or(|amount| headroom.now(now) >= amount as i64)
+        };
+        self.budgets.iter().all(fits) && self.check.as_ref().is_none_or(|check| check.permits(now, demand))
     }
 
-    /// The same, where something else has to permit a send too.
-    pub fn where_also(self, also: Option<Arc<dyn Permits>>) -> Room {
-        Room { also, ..self }
+    /// The same headroom with a further check.
+    pub fn with_check(self, check: Option<Arc<dyn AdmissionCheck>>) -> Headroom {
+        Headroom { check, ..self }
     }
 
-    /// The part of every engine that this gateway may lend now, where the fleet says so.
-    pub fn share(&self, now: Duration) -> Option<f64> {
-        let left = self.left.iter().find(|left| left.budget.measure == Measure::Engines)?;
-        Some(left.now(now).max(0) as f64 / ENGINES as f64)
+    /// The share of every engine that this gateway may use now, if the fleet has a budget on engines.
+    pub fn engine_share(&self, now: Duration) -> Option<f64> {
+        let headroom = self.budgets.iter().find(|headroom| headroom.budget.measure == Measure::Engines)?;
+        Some(headroom.now(now).max(0) as f64 / ENGINES_WHOLE_PPM as f64)
     }
 
-    /// Takes it. What has been permitted is taken, whatever is left.
-    pub fn take(&mut self, claim: &Claim) -> Took {
-        let rows = self.left.iter_mut().enumerate();
-        let took = rows.filter_map(|(at, left)| {
-            let takes = left.budget.takes(claim)?;
-            left.floor -= takes as i64;
-            Some((at, takes))
+    /// Charges a send that has been permitted, whatever the headroom.
+    pub fn charge(&mut self, demand: &Demand) -> Charges {
+        let budgets = self.budgets.iter_mut().enumerate();
+        let charges = budgets.filter_map(|(at, headroom)| {
+            let amount = headroom.budget.amount_for(demand)?;
+            headroom.floor -= amount as i64;
+            Some((at, amount))
         });
-        took.collect()
+        charges.collect()
     }
 }
 
-/// Names what is counted of an execution that may run on unheard: until when by the patient clock, and a number.
+/// Identifies an orphaned execution, which may still run unobserved: until when by the active clock, and a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Lingering {
+pub struct OrphanId {
     until: Duration,
     number: u64,
 }
 
-struct Row {
+struct BudgetUsage {
     budget: Arc<Budget>,
     floor: u64,
-    leave: u64,
+    grant: u64,
     until: Duration,
-    /// At once: in use, the most since last told.
+    /// Concurrent measures: in use now, and the peak since the last report.
     in_use: u64,
     peak: u64,
-    /// By the second: saved up of the floor's rate and the leave's, as at a moment.
-    saved: (u64, u64),
-    saved_at: Duration,
-    /// Taken, and refused for want of it, since last told.
-    taken: u64,
-    missed: u64,
+    /// Rates: tokens accumulated from the floor's rate and from the grant's, as of a moment.
+    tokens: (u64, u64),
+    refilled_at: Duration,
+    /// Charged, and refused for lack of headroom, since the last report.
+    charged: u64,
+    refused: u64,
     need: u64,
 }
 
-/// The parts of one gateway, and what it does with them.
+/// The shares of one gateway and its usage of them.
 pub struct Usage {
-    rows: Vec<Row>,
-    /// What others may have running ends by this clock, never too early.
-    clock: Patience,
-    /// Before this, by that clock, the floors are not ours yet: a process before us under the same place may have some running.
-    floor_from: Duration,
-    /// What may run on unheard, the first to end first; emptied as that clock passes.
-    lingering: BTreeMap<Lingering, Took>,
-    numbered: u64,
-    /// Of what lingers, what processes before this one sent.
-    inherited: BTreeSet<Lingering>,
-    told_at: Duration,
+    budgets: Vec<BudgetUsage>,
+    /// Executions of others are taken to have ended by this clock, never too early.
+    clock: ActiveClock,
+    /// The time by that clock from which the floors may be used: before it, a predecessor under the same member id may have
+    /// executions running.
+    floors_from: Duration,
+    /// Orphaned executions, the first to end first; dropped as that clock passes.
+    orphans: BTreeMap<OrphanId, Charges>,
+    last_number: u64,
+    /// The orphans that predecessors sent.
+    inherited: BTreeSet<OrphanId>,
+    reported_at: Duration,
 }
 
 impl Usage {
-    /// `floor_after`: how long what a process before us had running may go on.
-    pub fn new(budgets: Vec<Budget>, places: u32, floor_after: Duration, now: Duration) -> Usage {
-        let row = |budget: Budget| Row {
-            floor: budget.floor(places),
+    /// `floor_after`: for how long executions of a predecessor may still run.
+    pub fn new(budgets: Vec<Budget>, max_members: u32, floor_after: Duration, now: Duration) -> Usage {
+        let usage = |budget: Budget| BudgetUsage {
+            floor: budget.floor(max_members),
             budget: Arc::new(budget),
-            leave: 0,
+            grant: 0,
             until: Duration::ZERO,
             in_use: 0,
             peak: 0,
-            saved: (0, 0),
-            saved_at: now,
-            taken: 0,
-            missed: 0,
+            tokens: (0, 0),
+            refilled_at: now,
+            charged: 0,
+            refused: 0,
             need: 0,
         };
-        let rows = budgets.into_iter().map(row).collect();
-        let mut clock = Patience::default();
-        let _ = clock.look(now, false);
+        let budgets = budgets.into_iter().map(usage).collect();
+        let mut clock = ActiveClock::default();
+        let _ = clock.advance(now, false);
         Usage {
-            rows,
+            budgets,
             clock,
-            floor_from: floor_after,
-            lingering: BTreeMap::new(),
-            numbered: 0,
+            floors_from: floor_after,
+            orphans: BTreeMap::new(),
+            last_number: 0,
             inherited: BTreeSet::new(),
-            told_at: now,
+            reported_at: now,
         }
     }
 
-    /// More is known of what processes before us may have out: the floors are ours so much later, if not before.
-    pub fn floors_after(&mut self, now: Duration, span: Duration) {
-        self.pass(now);
-        self.floor_from = self.floor_from.min(self.clock.now() + span);
+    /// More is known of what predecessors may have in flight: the floors may be used after `span`, or earlier if they could be.
+    pub fn allow_floors_after(&mut self, now: Duration, span: Duration) {
+        self.advance(now);
+        self.floors_from = self.floors_from.min(self.clock.now() + span);
     }
 
-    /// A process before us sent what may yet run, or begin, for so long: it is in use as what we sent ourselves.
-    pub fn inherit(&mut self, now: Duration, took: Took, span: Duration) -> Option<Lingering> {
-        self.took(now, &took);
-        let name = self.ended(now, took, Some(span));
-        self.inherited.extend(name);
-        name
+    /// Counts an execution of a predecessor that may still run, or start, for `span`, as if this process had sent it.
+    pub fn inherit(&mut self, now: Duration, charges: Charges, span: Duration) -> Option<OrphanId> {
+        self.record_charges(now, &charges);
+        let id = self.end(now, charges, Some(span));
+        self.inherited.extend(id);
+        id
     }
 
-    /// By budget, what is in use beyond the floors of what processes before us sent.
+    /// By budget, what the predecessors' executions have in use beyond the floors.
     pub fn inherited_beyond_floors(&mut self, now: Duration) -> Vec<u64> {
-        self.pass(now);
-        let mut sums = vec![0u64; self.rows.len()];
-        for (at, takes) in self.inherited.iter().filter_map(|name| self.lingering.get(name)).flatten() {
-            if let Some(row) = self.rows.get(*at).filter(|row| row.budget.measure.is_at_once()) {
-                sums[*at] += takes.min(&row.budget.whole);
+        self.advance(now);
+        let mut sums = vec![0u64; self.budgets.len()];
+        for (at, amount) in self.inherited.iter().filter_map(|id| self.orphans.get(id)).flatten() {
+            if let Some(usage) = self.budgets.get(*at).filter(|usage| usage.budget.measure.is_at_once()) {
+                sums[*at] += amount.min(&usage.budget.whole);
             }
         }
-        sums.iter().zip(&self.rows).map(|(sum, row)| sum.saturating_sub(row.floor)).collect()
+        sums.iter().zip(&self.budgets).map(|(sum, usage)| sum.saturating_sub(usage.floor)).collect()
     }
 
-    /// Leave as it was given: grains by budget, and when all of it ends. Less than before takes hold at once, what runs runs on.
-    pub fn lease(&mut self, now: Duration, amounts: &[u64], until: Duration) {
-        self.pass(now);
-        for (row, amount) in self.rows.iter_mut().zip(amounts) {
-            row.leave = *amount;
-            row.until = until;
-            let most = row.most(row.leave);
-            row.saved.1 = row.saved.1.min(most);
+    /// Sets the grants: milliunits by budget and the expiry of all of them. A smaller grant takes effect at once, but running
+    /// executions go on.
+    pub fn set_grants(&mut self, now: Duration, amounts: &[u64], until: Duration) {
+        self.advance(now);
+        for (usage, amount) in self.budgets.iter_mut().zip(amounts) {
+            usage.grant = *amount;
+            usage.until = until;
+            let burst_limit = usage.burst_limit(usage.grant);
+            usage.tokens.1 = usage.tokens.1.min(burst_limit);
         }
     }
 
-    /// No leave any more, of any budget.
-    pub fn drop_leave(&mut self, now: Duration) {
-        self.pass(now);
-        self.rows.iter_mut().for_each(|row| (row.leave, row.until, row.saved.1) = (0, Duration::ZERO, 0));
+    /// Drops the grants of all budgets.
+    pub fn drop_grants(&mut self, now: Duration) {
+        self.advance(now);
+        self.budgets
+            .iter_mut()
+            .for_each(|usage| (usage.grant, usage.until, usage.tokens.1) = (0, Duration::ZERO, 0));
     }
 
-    pub fn took(&mut self, now: Duration, took: &Took) {
-        self.pass(now);
-        for (at, takes) in took {
-            let Some(row) = self.rows.get_mut(*at) else { continue };
-            row.taken += takes;
-            if row.budget.measure.is_at_once() {
-                row.in_use += takes;
-                row.peak = row.peak.max(row.in_use);
+    /// Records what a send was charged.
+    pub fn record_charges(&mut self, now: Duration, charges: &Charges) {
+        self.advance(now);
+        for (at, amount) in charges {
+            let Some(usage) = self.budgets.get_mut(*at) else { continue };
+            usage.charged += amount;
+            if usage.budget.measure.is_at_once() {
+                usage.in_use += amount;
+                usage.peak = usage.peak.max(usage.in_use);
             } else {
-                let from_leave = takes.saturating_sub(row.saved.0);
-                row.saved = (row.saved.0.saturating_sub(*takes), row.saved.1.saturating_sub(from_leave));
+                let from_grant = amount.saturating_sub(usage.tokens.0);
+                usage.tokens =
+                    (usage.tokens.0.saturating_sub(*amount), usage.tokens.1.saturating_sub(from_grant));
             }
         }
     }
 
-    /// An execution has ended; `unheard`: it may run on at its engine for so long. It is counted until then, or until it is
-    /// settled by the name that comes back.
-    pub fn ended(&mut self, now: Duration, took: Took, unheard: Option<Duration>) -> Option<Lingering> {
-        self.pass(now);
-        let Some(span) = unheard else {
-            self.free(&took);
+    /// Records the end of an execution. With `may_run_for` it may still run unobserved at its engine for so long and is counted
+    /// until then, or until it is settled by the id that is returned.
+    pub fn end(
+        &mut self,
+        now: Duration,
+        charges: Charges,
+        may_run_for: Option<Duration>,
+    ) -> Option<OrphanId> {
+        self.advance(now);
+        let Some(span) = may_run_for else {
+            self.release(&charges);
             return None;
         };
-        self.numbered += 1;
-        let name = Lingering { until: self.clock.now() + span, number: self.numbered };
-        self.lingering.insert(name, took);
-        Some(name)
+        self.last_number += 1;
+        let id = OrphanId { until: self.clock.now() + span, number: self.last_number };
+        self.orphans.insert(id, charges);
+        Some(id)
     }
 
-    /// More is known of what may run on unheard: for how long it still may, if at all. It never counts for longer than before,
-    /// and has another name then.
-    pub fn settle(&mut self, now: Duration, name: Lingering, unheard: Option<Duration>) -> Option<Lingering> {
-        self.pass(now);
-        let took = self.lingering.remove(&name)?;
-        match unheard {
+    /// Shortens or ends the time for which an orphaned execution counts, as more is known of it; it is never extended. Returns
+    /// the new id if it still counts.
+    pub fn settle(&mut self, now: Duration, id: OrphanId, may_run_for: Option<Duration>) -> Option<OrphanId> {
+        self.advance(now);
+        let charges = self.orphans.remove(&id)?;
+        match may_run_for {
             Some(span) => {
-                let until = name.until.min(self.clock.now() + span);
-                let shorter = Lingering { until, ..name };
-                if self.inherited.remove(&name) {
+                let until = id.until.min(self.clock.now() + span);
+                let shorter = OrphanId { until, ..id };
+                if self.inherited.remove(&id) {
                     self.inherited.insert(shorter);
                 }
-                self.lingering.insert(shorter, took);
+                self.orphans.insert(shorter, charges);
                 Some(shorter)
             }
             None => {
-                self.inherited.remove(&name);
-                self.free(&took);
+                self.inherited.remove(&id);
+                self.release(&charges);
                 None
             }
         }
     }
 
-    /// Whether it is counted still.
-    pub fn lingers(&self, name: Lingering) -> bool {
-        self.lingering.contains_key(&name)
+    /// Whether an orphaned execution still counts.
+    pub fn counts_orphan(&self, id: OrphanId) -> bool {
+        self.orphans.contains_key(&id)
     }
 
-    /// How many executions are counted that may run on unheard.
-    pub fn lingering(&self) -> usize {
-        self.lingering.len()
+    /// The number of orphaned executions that still count.
+    pub fn orphans(&self) -> usize {
+        self.orphans.len()
     }
 
-    fn free(&mut self, took: &Took) {
-        for (at, takes) in took {
-            if let Some(row) = self.rows.get_mut(*at).filter(|row| row.budget.measure.is_at_once()) {
-                row.in_use = row.in_use.saturating_sub(*takes);
+    fn release(&mut self, charges: &Charges) {
+        for (at, amount) in charges {
+            if let Some(usage) = self.budgets.get_mut(*at).filter(|usage| usage.budget.measure.is_at_once()) {
+                usage.in_use = usage.in_use.saturating_sub(*amount);
             }
         }
     }
 
-    /// A statement was rejected while a budget that counts it had no room: that much more is needed. Its engine is not known.
-    pub fn refused(&mut self, now: Duration, claim: &Claim) -> bool {
-        self.pass(now);
+    /// Records a rejected statement as need in each budget that had no headroom for it; whether any had none. The engine of
+    /// the statement is not known.
+    pub fn record_refusal(&mut self, now: Duration, demand: &Demand) -> bool {
+        self.advance(now);
         let (floors, mut any) = (self.has_floors(), false);
-        for row in &mut self.rows {
-            let kind = row.budget.scope.kind.clone().unwrap_or_default();
-            let Some(takes) = row.budget.takes(&Claim { kind: &kind, ..*claim }) else { continue };
-            if row.left(now, floors).now(now) < takes as i64 {
-                (row.missed, any) = (row.missed.saturating_add(takes), true);
+        for usage in &mut self.budgets {
+            let kind = usage.budget.scope.kind.clone().unwrap_or_default();
+            let Some(amount) = usage.budget.amount_for(&Demand { kind: &kind, ..*demand }) else { continue };
+            if usage.headroom(now, floors).now(now) < amount as i64 {
+                (usage.refused, any) = (usage.refused.saturating_add(amount), true);
             }
         }
         any
     }
 
-    /// What is needed beyond the floors, by budget; to be asked once a telling.
+    /// The need beyond the floors, by budget. Call once per report: it starts a new reporting period.
     pub fn needs(&mut self, now: Duration) -> Vec<u64> {
-        self.pass(now);
-        let since = now.saturating_sub(self.told_at).max(Duration::from_millis(50));
-        self.told_at = now;
-        let needs = self.rows.iter_mut().map(|row| {
-            if row.budget.measure == Measure::Engines {
-                row.need = row.budget.whole;
-                return row.need;
+        self.advance(now);
+        let since = now.saturating_sub(self.reported_at).max(Duration::from_millis(50));
+        self.reported_at = now;
+        let needs = self.budgets.iter_mut().map(|usage| {
+            if usage.budget.measure == Measure::Engines {
+                usage.need = usage.budget.whole;
+                return usage.need;
             }
-            let wanted = match row.budget.measure.is_at_once() {
-                true => row.peak.saturating_add(row.missed),
-                false => by_second(row.taken.saturating_add(row.missed), since),
+            let wanted = match usage.budget.measure.is_at_once() {
+                true => usage.peak.saturating_add(usage.refused),
+                false => per_second(usage.charged.saturating_add(usage.refused), since),
             };
-            let headroom = if wanted == 0 { 0 } else { (wanted / 100 * HEADROOM).max(row.budget.quantum) };
-            // No more than there is: what was refused in a surge would else be remembered for long.
-            row.need = wanted.saturating_add(headroom).max(row.need / 100 * NEED_KEPT).min(row.budget.whole);
-            (row.peak, row.taken, row.missed) = (row.in_use, 0, 0);
-            row.need.saturating_sub(row.floor)
+            let margin =
+                if wanted == 0 { 0 } else { (wanted / 100 * NEED_MARGIN_PERCENT).max(usage.budget.quantum) };
+            // Capped at the whole: otherwise the refusals of a surge would take long to decay.
+            usage.need = wanted
+                .saturating_add(margin)
+                .max(usage.need / 100 * NEED_DECAY_PERCENT)
+                .min(usage.budget.whole);
+            (usage.peak, usage.charged, usage.refused) = (usage.in_use, 0, 0);
+            usage.need.saturating_sub(usage.floor)
         });
         needs.collect()
     }
 
-    /// What we have beyond the floors, by budget: the leave, or what is in use beyond it.
-    pub fn holds(&mut self, now: Duration) -> Vec<u64> {
-        self.pass(now);
-        let held = self.rows.iter().map(|row| {
-            let leave = if now < row.until { row.leave } else { 0 };
-            leave.max(row.in_use.saturating_sub(row.floor))
+    /// What is held beyond the floors, by budget: the grant, or usage beyond it.
+    pub fn held(&mut self, now: Duration) -> Vec<u64> {
+        self.advance(now);
+        let held = self.budgets.iter().map(|usage| {
+            let grant = if now < usage.until { usage.grant } else { 0 };
+            grant.max(usage.in_use.saturating_sub(usage.floor))
         });
         held.collect()
     }
 
-    /// Floors, leave and use by budget, for whoever looks on.
-    pub fn figures(&mut self, now: Duration) -> Vec<Figures> {
-        self.pass(now);
+    /// Floors, grants and usage by budget, for status reports.
+    pub fn status(&mut self, now: Duration) -> Vec<BudgetStatus> {
+        self.advance(now);
         let floors = self.has_floors();
-        let floor = |row: &Row| if floors { row.floor } else { 0 };
-        let figures = self.rows.iter().map(|row| Figures {
-            budget: row.budget.name.clone(),
-            whole: row.budget.whole,
-            floor: floor(row),
-            leave: if now < row.until { row.leave } else { 0 },
-            until: row.until,
-            in_use: row.in_use,
-            need: row.need,
+        let floor = |usage: &BudgetUsage| if floors { usage.floor } else { 0 };
+        let status = self.budgets.iter().map(|usage| BudgetStatus {
+            budget: usage.budget.name.clone(),
+            whole: usage.budget.whole,
+            floor: floor(usage),
+            grant: if now < usage.until { usage.grant } else { 0 },
+            until: usage.until,
+            in_use: usage.in_use,
+            need: usage.need,
         });
-        figures.collect()
+        status.collect()
     }
 
-    /// What is left now, for the module.
-    pub fn room(&mut self, now: Duration) -> Room {
-        self.pass(now);
+    /// The headroom now, for the module.
+    pub fn headroom(&mut self, now: Duration) -> Headroom {
+        self.advance(now);
         let floors = self.has_floors();
-        let left = self.rows.iter().map(|row| row.left(now, floors)).collect();
-        Room { left, also: None }
+        let budgets = self.budgets.iter().map(|usage| usage.headroom(now, floors)).collect();
+        Headroom { budgets, check: None }
     }
 
-    /// Whether the floors are ours.
+    /// Whether the floors may be used.
     pub fn has_floors(&self) -> bool {
-        self.clock.now() >= self.floor_from
+        self.clock.now() >= self.floors_from
     }
 
-    /// When what is left changes by itself: leave ends, floors begin, what lingered can't run any more.
+    /// When the headroom next changes by itself: a grant expires, the floors become usable, or an orphan can no longer run.
     pub fn due(&self, now: Duration) -> Option<Duration> {
-        let patient = self.clock.now();
-        let first = self.lingering.first_key_value().map(|(name, _)| name.until);
-        let later = first.into_iter().chain([self.floor_from]);
-        let later = later.filter(|at| *at > patient).map(|at| now + (at - patient));
-        self.rows.iter().map(|row| row.until).filter(|at| *at > now).chain(later).min()
+        let active = self.clock.now();
+        let first = self.orphans.first_key_value().map(|(id, _)| id.until);
+        let later = first.into_iter().chain([self.floors_from]);
+        let later = later.filter(|at| *at > active).map(|at| now + (at - active));
+        self.budgets.iter().map(|usage| usage.until).filter(|at| *at > now).chain(later).min()
     }
 
-    /// To be called often: what others may have running is passed over for as long as nobody looks.
-    pub fn look(&mut self, now: Duration) {
-        self.pass(now);
+    /// To be called often: orphans expire only by time during which it is.
+    pub fn tick(&mut self, now: Duration) {
+        self.advance(now);
     }
 
-    fn pass(&mut self, now: Duration) {
+    fn advance(&mut self, now: Duration) {
         let had_floors = self.has_floors();
-        if self.clock.look(now, false).is_err() {
-            self.rows
+        if self.clock.advance(now, false).is_err() {
+            self.budgets
                 .iter_mut()
-                .for_each(|row| (row.leave, row.until, row.saved) = (0, Duration::ZERO, (0, 0)));
+                .for_each(|usage| (usage.grant, usage.until, usage.tokens) = (0, Duration::ZERO, (0, 0)));
         }
-        let patient = self.clock.now();
-        while let Some(entry) = self.lingering.first_entry().filter(|entry| entry.key().until <= patient) {
-            let (name, took) = entry.remove_entry();
-            self.inherited.remove(&name);
-            self.free(&took);
+        let active = self.clock.now();
+        while let Some(entry) = self.orphans.first_entry().filter(|entry| entry.key().until <= active) {
+            let (id, charges) = entry.remove_entry();
+            self.inherited.remove(&id);
+            self.release(&charges);
         }
-        for row in &mut self.rows {
-            if now >= row.until {
-                (row.leave, row.saved.1) = (0, 0);
+        for usage in &mut self.budgets {
+            if now >= usage.until {
+                (usage.grant, usage.tokens.1) = (0, 0);
             }
-            row.save(now, had_floors);
+            usage.refill(now, had_floors);
         }
     }
 }
 
-/// One budget as a gateway has it, in grains.
+/// The state of one budget at a gateway, in milliunits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Figures {
+pub struct BudgetStatus {
     pub budget: String,
     pub whole: u64,
     pub floor: u64,
-    pub leave: u64,
+    pub grant: u64,
     pub until: Duration,
     pub in_use: u64,
     pub need: u64,
 }
 
-impl Row {
-    /// The most that is saved up at this rate.
-    fn most(&self, rate: u64) -> u64 {
+impl BudgetUsage {
+    /// The most tokens that accumulate at this rate.
+    fn burst_limit(&self, rate: u64) -> u64 {
         (u128::from(rate) * self.budget.burst.as_millis() / 1000).min(u128::from(u64::MAX / 4)) as u64
     }
 
-    fn save(&mut self, now: Duration, floors: bool) {
-        let span = now.saturating_sub(self.saved_at);
+    fn refill(&mut self, now: Duration, floors: bool) {
+        let span = now.saturating_sub(self.refilled_at);
         if span.is_zero() || self.budget.measure.is_at_once() {
             return;
         }
-        // What is under a grain is not lost: the time for it stays to be counted.
-        let came = |rate: u64, span: Duration| (u128::from(rate) * span.as_micros() / 1_000_000) as u64;
-        let (floor, leave) = (came(if floors { self.floor } else { 0 }, span), came(self.leave, span));
-        if floor + leave == 0 && span < Duration::from_secs(1) {
+        // Less than a milliunit is not lost: `refilled_at` stays, so that its time is counted later.
+        let refill = |rate: u64, span: Duration| (u128::from(rate) * span.as_micros() / 1_000_000) as u64;
+        let (floor, grant) = (refill(if floors { self.floor } else { 0 }, span), refill(self.grant, span));
+        if floor + grant == 0 && span < Duration::from_secs(1) {
             return;
         }
-        self.saved.0 = (self.saved.0 + floor).min(self.most(self.floor));
-        self.saved.1 = (self.saved.1 + leave).min(self.most(self.leave));
-        self.saved_at = now;
+        self.tokens.0 = (self.tokens.0 + floor).min(self.burst_limit(self.floor));
+        self.tokens.1 = (self.tokens.1 + grant).min(self.burst_limit(self.grant));
+        self.refilled_at = now;
     }
 
-    fn left(&self, now: Duration, floors: bool) -> Left {
+    fn headroom(&self, now: Duration, floors: bool) -> BudgetHeadroom {
         let floor = if floors { self.floor } else { 0 };
-        let leave = if now < self.until { self.leave } else { 0 };
-        let (left, rate, most) = match self.budget.measure.is_at_once() {
-            true => ((floor as i64 - self.in_use as i64, leave as i64), (0, 0), (0, 0)),
+        let grant = if now < self.until { self.grant } else { 0 };
+        let (free, rate, burst_limit) = match self.budget.measure.is_at_once() {
+            true => ((floor as i64 - self.in_use as i64, grant as i64), (0, 0), (0, 0)),
             false => (
-                (self.saved.0 as i64, self.saved.1 as i64),
-                (floor, leave),
-                (self.most(floor), self.most(leave)),
+                (self.tokens.0 as i64, self.tokens.1 as i64),
+                (floor, grant),
+                (self.burst_limit(floor), self.burst_limit(grant)),
             ),
         };
         let budget = self.budget.clone();
-        Left { budget, at: now, until: self.until, floor: left.0, leave: left.1, rate, most }
+        BudgetHeadroom { budget, at: now, until: self.until, floor: free.0, grant: free.1, rate, burst_limit }
     }
 }
 
-fn by_second(grains: u64, since: Duration) -> u64 {
-    (u128::from(grains) * 1_000_000 / since.as_micros().max(1)).min(u128::from(u64::MAX / 4)) as u64
+fn per_second(milliunits: u64, since: Duration) -> u64 {
+    (u128::from(milliunits) * 1_000_000 / since.as_micros().max(1)).min(u128::from(u64::MAX / 4)) as u64
 }
 
-/// A figure in whole units, for tables.
-pub fn units(grains: u64) -> f64 {
-    grains as f64 / GRAIN as f64
+/// An amount in whole units, for tables.
+pub fn units(milliunits: u64) -> f64 {
+    milliunits as f64 / UNIT as f64
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -7,7 +7,7 @@
 use crate::seat::Ballot;
 use crate::wire::{Ask, Give, Message};
 use crate::{Incarnation, Terms, Wrong};
-use bramblewharf_budgets::{parts, Asks, Budget, Credits, Patience};
+use bramblewharf_budgets::{allocate, ActiveClock, Budget, Credits, ShareRequest};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -87,7 +87,7 @@
     budgets: Vec<Budget>,
     table: u64,
     rng: WyRand,
-    clock: Patience,
+    clock: ActiveClock,
     began: Duration,
     places: BTreeMap<u32, Place>,
     /// Emptied of each as what it had can't be in use any more.
@@ -118,8 +118,8 @@
         seed: u64,
         now: Duration,
     ) -> Keeper {
-        let mut clock = Patience::default();
-        let _ = clock.look(now, false);
+        let mut clock = ActiveClock::default();
+        let _ = clock.advance(now, false);
         Keeper {
             term,
             terms,
@@ -161,7 +161,7 @@
 
     /// Ends what has to end by now. A clock that went back costs the keeper its book: false.
     pub fn tick(&mut self, now: Duration) -> bool {
-        if self.clock.look(now, self.terms.is_wrong(Wrong::SleepCounts)).is_err() {
+        if self.clock.advance(now, self.terms.is_wrong(Wrong::SleepCounts)).is_err() {
             return false;
         }
         let now = self.clock.now();
@@ -400,12 +400,16 @@
             entries.filter(|(_, e)| !e.left && now < e.heard + terms.lease).collect();
         self.ranks = there.iter().map(|(place, _)| *place).collect();
         for (at, budget) in self.budgets.iter().enumerate() {
-            let asks = there.iter().map(|(_, e)| Asks { need: e.needs[at], importance: 1, has: e.given[at] });
-            let asks: Vec<Asks> = asks.collect();
+            let asks = there.iter().map(|(_, e)| ShareRequest {
+                need: e.needs[at],
+                importance: 1,
+                held: e.given[at],
+            });
+            let asks: Vec<ShareRequest> = asks.collect();
             let credits = &self.credits[at];
             let mut owed: Credits =
                 there.iter().map(|(place, _)| credits.get(place).copied().unwrap_or(0)).collect();
-            let parts = parts(budget.pool(terms.places), budget.quantum, &asks, &mut owed);
+            let parts = allocate(budget.pool(terms.places), budget.quantum, &asks, &mut owed);
             let places = || there.iter().map(|(place, _)| *place);
             if goes_round {
                 self.credits[at] = places().zip(owed).collect();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,7 +17,7 @@
 pub use node::{Effect, Node, Status};
 pub use wire::{Envelope, Key, Message};
 
-use bramblewharf_budgets::UNSEEN;
+use bramblewharf_budgets::MAX_GAP;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
     /// At least as long by any clock of the fleet as `span` is by any other, one jump that nobody saw included.
     pub fn longer(&self, span: Duration) -> Duration {
         let drift = self.drift_percent.min(50);
-        span * (100 + drift) / (100 - drift) + UNSEEN
+        span * (100 + drift) / (100 - drift) + MAX_GAP
     }
 
     /// How long a send that was decided in time may take to its engine.
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -7,8 +7,8 @@
 use crate::seat::{Right, Say, Seat};
 use crate::wire::{Envelope, Message, Party};
 use crate::{Incarnation, Terms, Wrong};
-use bramblewharf_budgets::usage::{Figures, Lingering, Took};
-use bramblewharf_budgets::{Budget, Claim, Room, Usage};
+use bramblewharf_budgets::usage::{BudgetStatus, Charges, OrphanId};
+use bramblewharf_budgets::{Budget, Demand, Headroom, Usage};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
     pub has_leave: bool,
     pub members: Option<u32>,
     pub holder: holder::Counts,
-    pub budgets: Vec<Figures>,
+    pub budgets: Vec<BudgetStatus>,
     pub seat: Option<SeatStatus>,
     pub keeper: Option<KeeperStatus>,
     pub passed_over: u64,
@@ -115,7 +115,7 @@
         start: Start,
         predecessor: Predecessor,
         now: Duration,
-    ) -> (Node, Vec<(Outstanding, Lingering)>) {
+    ) -> (Node, Vec<(Outstanding, OrphanId)>) {
         let terms = start.terms.clone();
         let mistaken = terms.is_wrong(Wrong::SettledUnheard) || terms.is_wrong(Wrong::FreeAtTheKill);
         let predecessor = if mistaken { Predecessor::Ended } else { predecessor };
@@ -155,7 +155,7 @@
 
     /// Every engine that a process before this one may have sent to has read what it sent, or is gone.
     pub fn engines_heard(&mut self, now: Duration) {
-        self.usage.floors_after(now, self.start.terms.ghost());
+        self.usage.allow_floors_after(now, self.start.terms.ghost());
     }
 
     /// Whether all that may be out of this place is counted in use here.
@@ -181,17 +181,16 @@
             self.say_all(say, &mut effects);
         }
         self.keep(now);
-        self.usage.look(now);
+        self.usage.tick(now);
         if self.usage.has_floors() {
             self.succession.completed();
         }
         if self.holder.look(now) {
-            self.usage.drop_leave(now);
+            self.usage.drop_grants(now);
             effects.push(Effect::Room);
         }
         let usage = &mut self.usage;
-        if let Some((seat, number, message)) = self.holder.tick(now, || (usage.holds(now), usage.needs(now)))
-        {
+        if let Some((seat, number, message)) = self.holder.tick(now, || (usage.held(now), usage.needs(now))) {
             self.ask_seat(now, seat, number, message, &mut effects);
         }
         effects
@@ -291,7 +290,7 @@
         if self.holder.heard(now, seat, message) {
             if let Some(leave) = self.holder.leave(now) {
                 let (amounts, until) = (leave.amounts.clone(), leave.until);
-                self.usage.lease(now, &amounts, until);
+                self.usage.set_grants(now, &amounts, until);
                 effects.push(Effect::Room);
                 self.tell_succession(now, seat, effects);
             }
@@ -324,7 +323,7 @@
         self.succession.answered();
         if self.succession.heard(former) {
             // What is out is counted: the rest of the floors is ours.
-            self.usage.floors_after(now, Duration::ZERO);
+            self.usage.allow_floors_after(now, Duration::ZERO);
             effects.push(Effect::Room);
             let seat = self.holder.seat();
             self.tell_succession(now, seat, effects);
@@ -377,8 +376,8 @@
     }
 
     /// What is left of this gateway's parts.
-    pub fn room(&mut self, now: Duration) -> Room {
-        self.usage.room(now)
+    pub fn room(&mut self, now: Duration) -> Headroom {
+        self.usage.headroom(now)
     }
 
     /// When what is left changes by itself.
@@ -386,8 +385,8 @@
         self.usage.due(now)
     }
 
-    pub fn took(&mut self, now: Duration, took: &Took) {
-        self.usage.took(now, took);
+    pub fn took(&mut self, now: Duration, took: &Charges) {
+        self.usage.record_charges(now, took);
     }
 
     /// What is decided now may be sent until then, whatever this process sleeps through: what it may have in use is counted
@@ -405,13 +404,13 @@
     }
 
     /// An execution has ended here; what may remain of it is counted, and can be settled by the name that comes back.
-    pub fn ended(&mut self, now: Duration, took: Took, remains: Remains) -> Option<Lingering> {
+    pub fn ended(&mut self, now: Duration, took: Charges, remains: Remains) -> Option<OrphanId> {
         let span = self.span(remains);
-        self.usage.ended(now, took, span)
+        self.usage.end(now, took, span)
     }
 
     /// More is known of what remains of an execution: its name from now on, while it counts.
-    pub fn settle(&mut self, now: Duration, name: Lingering, remains: Remains) -> Option<Lingering> {
+    pub fn settle(&mut self, now: Duration, name: OrphanId, remains: Remains) -> Option<OrphanId> {
         let span = self.span(remains);
         self.usage.settle(now, name, span)
     }
@@ -431,16 +430,16 @@
     }
 
     /// Whether what remains of an execution is counted still, and of how many that is so.
-    pub fn lingers(&self, name: Lingering) -> bool {
-        self.usage.lingers(name)
+    pub fn lingers(&self, name: OrphanId) -> bool {
+        self.usage.counts_orphan(name)
     }
 
     pub fn lingering(&self) -> usize {
-        self.usage.lingering()
+        self.usage.orphans()
     }
 
-    pub fn refused(&mut self, now: Duration, claim: &Claim) {
-        if self.usage.refused(now, claim) {
+    pub fn refused(&mut self, now: Duration, demand: &Demand) {
+        if self.usage.record_refusal(now, demand) {
             self.holder.hasten(now);
         }
     }
@@ -448,8 +447,8 @@
     /// Leaves for good, with nothing more to come: what is not in use is free for others at once. Said again, it says the same.
     pub fn leave(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.usage.drop_leave(now);
-        let holds = self.usage.holds(now);
+        self.usage.drop_grants(now);
+        let holds = self.usage.held(now);
         if let Some((seat, number, message)) = self.holder.go(holds) {
             self.ask_seat(now, seat, number, message, &mut effects);
         }
@@ -462,8 +461,8 @@
     }
 
     /// Floors, leave and use, as they are now.
-    pub fn figures(&mut self, now: Duration) -> Vec<Figures> {
-        self.usage.figures(now)
+    pub fn figures(&mut self, now: Duration) -> Vec<BudgetStatus> {
+        self.usage.status(now)
     }
 
     /// The right to keep, while this gateway has it.
@@ -507,7 +506,7 @@
                     counts: keeper.counts,
                 },
             ),
-            budgets: self.usage.figures(now),
+            budgets: self.usage.status(now),
             passed_over: self.passed_over,
         }
     }
--- a/crates/fleet/src/outstanding.rs
+++ b/crates/fleet/src/outstanding.rs
@@ -4,7 +4,7 @@
 //! and one bad part makes the whole file unknown. Nothing here does I/O.
 
 use crate::Incarnation;
-use bramblewharf_budgets::usage::Took;
+use bramblewharf_budgets::usage::Charges;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -27,7 +27,7 @@
     pub execution: usize,
     pub engine: SocketAddr,
     /// What it takes of the fleet's budgets.
-    pub took: Took,
+    pub took: Charges,
 }
 
 /// Whose file it is.
--- a/crates/fleet/src/seat.rs
+++ b/crates/fleet/src/seat.rs
@@ -7,7 +7,7 @@
 
 use crate::wire::Message;
 use crate::{Incarnation, Terms, Wrong};
-use bramblewharf_budgets::Patience;
+use bramblewharf_budgets::ActiveClock;
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -54,7 +54,7 @@
     incarnation: Incarnation,
     terms: Terms,
     rng: WyRand,
-    clock: Patience,
+    clock: ActiveClock,
     /// By the patient clock: before this it knows too little to vote.
     votes_from: Duration,
     promised: Option<Ballot>,
@@ -74,7 +74,7 @@
             own,
             incarnation,
             rng: WyRand::new_seed(seed),
-            clock: Patience::default(),
+            clock: ActiveClock::default(),
             votes_from: if terms.is_wrong(Wrong::VotesUnknowing) {
                 Duration::ZERO
             } else {
@@ -89,7 +89,7 @@
             leaving: false,
             bids: 0,
         };
-        let _ = seat.clock.look(now, false);
+        let _ = seat.clock.advance(now, false);
         seat
     }
 
@@ -146,7 +146,7 @@
     }
 
     fn look(&mut self, now: Duration) {
-        if self.clock.look(now, self.terms.is_wrong(Wrong::SleepCounts)).is_err() {
+        if self.clock.advance(now, self.terms.is_wrong(Wrong::SleepCounts)).is_err() {
             // A clock that went back: when what it was given ends can't be told any more. What it gave only lasts longer.
             self.right = None;
             self.bid = None;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -118,7 +118,7 @@
     pub table: u64,
     /// Since this process started, in ms: one that is older than all leave has no forerunner that has any.
     pub up_ms: u64,
-    /// By budget, in grains: what is held, and what is needed, beyond the floor.
+    /// By budget, in milliunits: what is held, and what is needed, beyond the floor.
     pub holds: Vec<u64>,
     pub needs: Vec<u64>,
 }
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -1,6 +1,6 @@
 //! What a keeper gives away of a killed process's part, and when.
 
-use bramblewharf_budgets::{Budget, Measure, Scope, GRAIN};
+use bramblewharf_budgets::{Budget, Measure, Scope, UNIT};
 use bramblewharf_fleet::seat::Ballot;
 use bramblewharf_fleet::wire::{Ask, Message};
 use bramblewharf_fleet::{Incarnation, Keeper, Terms};
@@ -8,7 +8,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 const TABLE: u64 = 1;
-const POOL: u64 = 8 * GRAIN;
+const POOL: u64 = 8 * UNIT;
 
 fn terms() -> Terms {
     Terms {
@@ -38,7 +38,7 @@
             measure: Measure::StatementsAtOnce,
             whole: POOL,
             floor_percent: 0,
-            quantum: GRAIN,
+            quantum: UNIT,
             burst: Duration::ZERO,
         };
         let ballot = Ballot { round: 1, seat: 0, incarnation: Incarnation(9) };
@@ -104,10 +104,10 @@
     let former = book.succeeds(2, second, None);
     assert!(matches!(former, Some(Message::Former { former, .. }) if former == [Incarnation(1)]));
     assert_eq!(book.of_gone(), had, "it can't tell yet");
-    book.succeeds(2, second, Some(2 * GRAIN));
-    assert_eq!(book.of_gone(), 2 * GRAIN);
+    book.succeeds(2, second, Some(2 * UNIT));
+    assert_eq!(book.of_gone(), 2 * UNIT);
     book.succeeds(2, second, Some(had));
-    assert_eq!(book.of_gone(), 2 * GRAIN, "it grows no more");
+    assert_eq!(book.of_gone(), 2 * UNIT, "it grows no more");
     book.succeeds(2, second, Some(0));
     assert_eq!(book.of_gone(), 0);
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -168,8 +168,8 @@
         let rows: Vec<_> = figures
             .iter()
             .map(|f| {
-                let until = if f.leave > 0 { f.until } else { Duration::ZERO };
-                (f.floor, f.leave, f.in_use, until)
+                let until = if f.grant > 0 { f.until } else { Duration::ZERO };
+                (f.floor, f.grant, f.in_use, until)
             })
             .collect();
         for (number, (f, row)) in figures.iter().zip(&rows).enumerate() {
@@ -177,7 +177,7 @@
                 let ends = at + f.until.saturating_sub(now);
                 let fact = json!({"at_us": at.as_micros() as u64, "place": node.place(),
                     "incarnation": format!("{:x}", node.incarnation().0), "budget": f.budget, "whole": f.whole,
-                    "floor": f.floor, "leave": f.leave, "in_use": f.in_use, "until_us": ends.as_micros() as u64});
+                    "floor": f.floor, "leave": f.grant, "in_use": f.in_use, "until_us": ends.as_micros() as u64});
                 text += &format!("{fact}\n");
             }
         }
@@ -216,7 +216,7 @@
         .budgets
         .iter()
         .map(|f| {
-            json!({"budget": f.budget, "whole": units(f.whole), "floor": units(f.floor), "leave": units(f.leave),
+            json!({"budget": f.budget, "whole": units(f.whole), "floor": units(f.floor), "leave": units(f.grant),
                 "in_use": units(f.in_use), "need": units(f.need),
                 "leave_ends_in_ms": f.until.saturating_sub(now).as_millis() as u64})
         })
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -4,7 +4,7 @@
 use crate::policy::{self, Names};
 use bramblewharf_bodies as bodies;
 use bramblewharf_budgets as budgets;
-use bramblewharf_budgets::{grains, Measure, Scope, GRAIN};
+use bramblewharf_budgets::{milliunits, Measure, Scope, UNIT};
 use bramblewharf_fleet::wire::{digest, fleet_of};
 use bramblewharf_fleet::{node, Incarnation, Key, Terms};
 use bytesize::ByteSize;
@@ -270,13 +270,13 @@
 impl Budget {
     fn read(&self, name: String, scope: Scope) -> budgets::Budget {
         let (measure, quantum) = match (self.at_once, self.per_second) {
-            (Some(Counted::Weight), _) => (Measure::WeightAtOnce, GRAIN),
-            (Some(Counted::Memory), _) => (Measure::MemoryAtOnce, 16 * GRAIN),
-            (Some(Counted::Statements), _) | (None, None) => (Measure::StatementsAtOnce, GRAIN),
-            (None, Some(Counted::Weight)) => (Measure::WeightPerSecond, GRAIN),
-            (None, Some(_)) => (Measure::StatementsPerSecond, GRAIN),
+            (Some(Counted::Weight), _) => (Measure::WeightAtOnce, UNIT),
+            (Some(Counted::Memory), _) => (Measure::MemoryAtOnce, 16 * UNIT),
+            (Some(Counted::Statements), _) | (None, None) => (Measure::StatementsAtOnce, UNIT),
+            (None, Some(Counted::Weight)) => (Measure::WeightPerSecond, UNIT),
+            (None, Some(_)) => (Measure::StatementsPerSecond, UNIT),
         };
-        let (whole, floor_percent, burst) = (grains(self.whole), self.floor_percent, self.burst);
+        let (whole, floor_percent, burst) = (milliunits(self.whole), self.floor_percent, self.burst);
         budgets::Budget { name, scope, measure, whole, floor_percent, quantum, burst }
     }
 }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -3,7 +3,7 @@
 
 use crate::operators::parse;
 use bramblewharf::interface::{Effect as Repeats, Site};
-use bramblewharf_budgets::{Claim, Permits};
+use bramblewharf_budgets::{AdmissionCheck, Demand};
 use bramblewharf_policy::{Asked, Check, Kept, Limits, Permit, Revision, Rules};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -150,12 +150,12 @@
     pub names: Arc<Names>,
 }
 
-impl Permits for Permitted {
-    fn permits(&self, now: Duration, claim: &Claim) -> bool {
+impl AdmissionCheck for Permitted {
+    fn permits(&self, now: Duration, demand: &Demand) -> bool {
         let names = &*self.names;
-        let workload = names.workloads.get(claim.workload).map_or("", String::as_str);
-        let customer = claim.customer.and_then(|at| names.customers.get(at)).map(String::as_str);
-        let asked = Asked { workload, customer, kind: claim.kind, before: claim.before };
+        let workload = names.workloads.get(demand.workload).map_or("", String::as_str);
+        let customer = demand.customer.and_then(|at| names.customers.get(at)).map(String::as_str);
+        let asked = Asked { workload, customer, kind: demand.kind, before: demand.previous_executions };
         self.permit.permits(now, &asked)
     }
 }
--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/src/reducer.rs
@@ -64,7 +64,7 @@
     /// The outcome it will have once its engine has been told.
     stopping: Option<Outcome>,
     /// What it takes of the fleet's budgets.
-    took: Took,
+    took: Charges,
     /// Its engine has shown that it has it.
     arrived: bool,
     /// It has ended here, and nothing shows that it has at its engine.
@@ -81,7 +81,7 @@
     /// As budgets see it: workload, customer and memory (MB).
     counts_as: (usize, Option<usize>, f64),
     /// What its next execution takes of them.
-    takes: Took,
+    takes: Charges,
     /// None once it has its answer.
     open: Option<DueAt>,
     executions: Vec<Execution>,
@@ -419,7 +419,7 @@
             parcel: Rc::new(parcel),
             mem_mb: 0.0,
             counts_as: (said.workload, said.customer, said.est_mem_mb.unwrap_or(0.0)),
-            takes: Took::new(),
+            takes: Charges::new(),
             open: Some(open),
             executions: Vec::new(),
         };
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -6,7 +6,7 @@
 use crate::policy::{Names, Permitted};
 use crate::unsettled::Unsettled;
 use bramblewharf::interface::{Event, Id};
-use bramblewharf_budgets::{Claim, Permits};
+use bramblewharf_budgets::{AdmissionCheck, Demand};
 use bramblewharf_fleet::node::{self, Node, Remains};
 use bramblewharf_fleet::outstanding::{Outstanding, Slots};
 use bramblewharf_fleet::predecessor::Predecessor;
@@ -162,9 +162,9 @@
             // Before whatever else there is news of: nothing is decided by what was left before.
             let permitted = self.policy.as_ref().map(|policy| {
                 let (permit, names) = (policy.permit.clone(), policy.names.clone());
-                Arc::new(Permitted { permit, names }) as Arc<dyn Permits>
+                Arc::new(Permitted { permit, names }) as Arc<dyn AdmissionCheck>
             });
-            self.news.push_front(Event::Room(node.room(now).where_also(permitted)));
+            self.news.push_front(Event::Room(node.room(now).with_check(permitted)));
             self.room_due = node.room_due(now);
         }
         let policy = self.policy.as_ref().map(|policy| policy.node.due(now));
@@ -193,8 +193,8 @@
         let (Some(node), Some(stmt)) = (&mut self.fleet, self.stmts.get(id)) else { return };
         let (workload, customer, mem_mb) = stmt.counts_as;
         let weight = self.threads.get(workload).copied().unwrap_or(1.0);
-        let before = stmt.executions.len() as u32;
-        node.refused(now, &Claim { workload, customer, kind: "", weight, mem_mb, before });
+        let previous_executions = stmt.executions.len() as u32;
+        node.refused(now, &Demand { workload, customer, kind: "", weight, mem_mb, previous_executions });
         self.fleet_due = Some(node.due(now));
     }
 }
--- a/crates/gateway/src/unsettled.rs
+++ b/crates/gateway/src/unsettled.rs
@@ -2,7 +2,7 @@
 //! all that is out, for the process after this one.
 
 use bramblewharf::interface::Id;
-use bramblewharf_budgets::usage::Lingering;
+use bramblewharf_budgets::usage::OrphanId;
 use bramblewharf_fleet::node::{Node, Remains};
 use bramblewharf_fleet::outstanding::{Outstanding, Slots, Write};
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 type Key = (Id, usize);
 
 struct Entry {
-    name: Lingering,
+    name: OrphanId,
     /// A process before this one sent it: nothing is known of how its connection ended.
     inherited: bool,
 }
@@ -30,14 +30,14 @@
     }
 
     /// What the record begins with.
-    pub fn first_writes(&mut self, inherited: &[(Outstanding, Lingering)]) -> Vec<Write> {
+    pub fn first_writes(&mut self, inherited: &[(Outstanding, OrphanId)]) -> Vec<Write> {
         let Some(slots) = &mut self.slots else { return Vec::new() };
         let used: Vec<Write> = inherited.iter().map(|(outstanding, _)| slots.add(outstanding)).collect();
         used.into_iter().chain([slots.header()]).collect()
     }
 
     /// A process before this one sent it.
-    pub fn inherit(&mut self, id: Id, execution: usize, name: Lingering) {
+    pub fn inherit(&mut self, id: Id, execution: usize, name: OrphanId) {
         self.entries.insert((id, execution), Entry { name, inherited: true });
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// It has ended here; `name`: what may remain of it counts by that.
-    pub fn ended(&mut self, id: &Id, execution: usize, name: Option<Lingering>) -> Option<Write> {
+    pub fn ended(&mut self, id: &Id, execution: usize, name: Option<OrphanId>) -> Option<Write> {
         match name {
             Some(name) => {
                 self.entries.insert((id.clone(), execution), Entry { name, inherited: false });
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The operators' words on a fleet, and the program that shows it.
 
-use bramblewharf_budgets::{Measure, GRAIN};
+use bramblewharf_budgets::{Measure, UNIT};
 use bramblewharf_gateway::operators::{self, Known, Operators};
 use bramblewharf_gateway::policy::Names;
 use std::process::{Child, Command};
@@ -87,7 +87,7 @@
     assert_eq!(terms.start.terms.run_out, Duration::from_secs(5));
     let budget = &terms.start.budgets[0];
     assert_eq!((budget.scope.customer, budget.measure), (Some(1), Measure::StatementsAtOnce));
-    assert_eq!((budget.whole, budget.floor(4), budget.pool(4)), (40 * GRAIN, 2 * GRAIN, 32 * GRAIN));
+    assert_eq!((budget.whole, budget.floor(4), budget.pool(4)), (40 * UNIT, 2 * UNIT, 32 * UNIT));
     // The same file is the same table at every gateway; another figure is another.
     let table = |text: &str| operators(text).fleet_terms(&known(&customers)).unwrap().unwrap().start.table;
     assert_eq!(table(&text), table(&text.replace("places   = 4", "places   = 4\n  place = 3\n  seat = 1")));
--- a/crates/gateway/tests/reducer.rs
+++ b/crates/gateway/tests/reducer.rs
@@ -1,7 +1,7 @@
 //! The reducer alone: inputs and times go in, effects come out.
 
 use bramblewharf::interface::{EngineEntry, EngineState, Id, ListKind, NewStatement, Note, Outcome};
-use bramblewharf_budgets::{Budget, Measure, Scope, GRAIN};
+use bramblewharf_budgets::{Budget, Measure, Scope, UNIT};
 use bramblewharf_fleet::outstanding::{Life, Outstanding, Record, Slots};
 use bramblewharf_fleet::predecessor::Predecessor;
 use bramblewharf_fleet::{node, Incarnation, Terms};
@@ -419,7 +419,7 @@
     };
     let (burst, name) = (ms(1000), "b".to_string());
     let budget =
-        Budget { name, scope, measure, whole: whole * GRAIN, floor_percent: 100, quantum: GRAIN, burst };
+        Budget { name, scope, measure, whole: whole * UNIT, floor_percent: 100, quantum: UNIT, burst };
     node::Start {
         place: 0,
         seat: None,
@@ -646,7 +646,7 @@
 
 fn recorded(id: &str) -> Predecessor {
     let life = Life { incarnation: Incarnation(7), after: None, complete: true, table: 1, boot: 0 };
-    let took = vec![(0, GRAIN)];
+    let took = vec![(0, UNIT)];
     let outstanding = Outstanding { id: id.into(), execution: 0, engine: listed("a").address, took };
     Predecessor::Recorded(Record { life, outstanding: vec![outstanding] })
 }
--- a/crates/policy/src/steward.rs
+++ b/crates/policy/src/steward.rs
@@ -10,7 +10,7 @@
 use crate::say::{Ask, Leave, Say, Stands};
 use crate::texts::Texts;
 use crate::{Phase, Terms, Wrong};
-use bramblewharf_budgets::Patience;
+use bramblewharf_budgets::ActiveClock;
 use bramblewharf_fleet::node::To;
 use bramblewharf_fleet::seat::Ballot;
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
     term: Ballot,
     own: u8,
     terms: Terms,
-    clock: Patience,
+    clock: ActiveClock,
     began: Duration,
     entry: Entry,
     number: u64,
@@ -85,8 +85,8 @@
 
 impl Steward {
     pub fn start(term: Ballot, own: u8, terms: Terms, now: Duration) -> Steward {
-        let mut clock = Patience::default();
-        let _ = clock.look(now, false);
+        let mut clock = ActiveClock::default();
+        let _ = clock.advance(now, false);
         let terms_until = terms.until_over() * 4;
         Steward {
             right: term,
@@ -136,7 +136,7 @@
 
     /// What is to be said to seats now. A clock that went back costs it everything: false.
     pub fn tick(&mut self, now: Duration, texts: &mut Texts<To>, first: Digest) -> Option<Vec<(u8, Say)>> {
-        self.clock.look(now, false).ok()?;
+        self.clock.advance(now, false).ok()?;
         let now = self.clock.now();
         let mut say = Vec::new();
         self.find_out(texts, first);
--- a/crates/rig/src/agreed.rs
+++ b/crates/rig/src/agreed.rs
@@ -1,7 +1,7 @@
 //! What a fleet agrees on, in virtual time: of each gateway the machine of its leave and the one of its policy, with nothing else
 //! around them. Sizes and costs are looked at here; what must hold is checked by `simulated` and in the policy's own tests.
 
-use bramblewharf_budgets::{Budget, Claim, Measure, Scope, GRAIN};
+use bramblewharf_budgets::{Budget, Demand, Measure, Scope, UNIT};
 use bramblewharf_fleet::node::{self, To};
 use bramblewharf_fleet::wire::{Message, Party};
 use bramblewharf_fleet::{Envelope, Incarnation, Key, Terms};
@@ -265,9 +265,9 @@
             name: "whole".into(),
             scope: Scope::default(),
             measure: Measure::StatementsAtOnce,
-            whole: 20 * self.of.gateways as u64 * GRAIN,
+            whole: 20 * self.of.gateways as u64 * UNIT,
             floor_percent: 25,
-            quantum: GRAIN,
+            quantum: UNIT,
             burst: Duration::ZERO,
         };
         let gateway = &mut self.gateways[at];
@@ -288,8 +288,15 @@
             now,
         );
         // What it has in use for as long as it runs, so that it needs some.
-        let claim = Claim { workload: 0, customer: None, kind: "", weight: 1.0, mem_mb: 0.0, before: 0 };
-        let took = leave.room(now).take(&claim);
+        let demand = Demand {
+            workload: 0,
+            customer: None,
+            kind: "",
+            weight: 1.0,
+            mem_mb: 0.0,
+            previous_executions: 0,
+        };
+        let took = leave.room(now).charge(&demand);
         leave.took(now, &took);
         gateway.leave = Some(leave);
         gateway.policy = self.offers.first().and_then(|first| {
--- a/crates/rig/src/simulated.rs
+++ b/crates/rig/src/simulated.rs
@@ -2,8 +2,8 @@
 //! (who is there, what runs at engines) is kept apart from what the machines believe, and the invariants are checked on it.
 
 use crate::plan::{Fault, Plan};
-use bramblewharf_budgets::usage::{Lingering, Took};
-use bramblewharf_budgets::{Budget, Claim, Measure, Scope, GRAIN};
+use bramblewharf_budgets::usage::{Charges, OrphanId};
+use bramblewharf_budgets::{Budget, Demand, Measure, Scope, UNIT};
 use bramblewharf_fleet::node::{Effect, Node, Remains, Start, To};
 use bramblewharf_fleet::outstanding::{Life, Outstanding, Record};
 use bramblewharf_fleet::predecessor::Predecessor;
@@ -49,7 +49,7 @@
             gateways: 5,
             places: 5,
             seats: 3,
-            whole: 40 * GRAIN,
+            whole: 40 * UNIT,
             floor_percent: 25,
             on_engines: false,
             demand: 100,
@@ -87,7 +87,7 @@
             measure: Measure::StatementsAtOnce,
             whole: self.whole,
             floor_percent: self.floor_percent,
-            quantum: GRAIN,
+            quantum: UNIT,
             burst: Duration::ZERO,
         }
     }
@@ -102,7 +102,7 @@
     pub refused: u64,
     pub messages: u64,
     pub bytes: u64,
-    /// Of the whole, what was in use, sampled: time and grains; and what gateways had leave for.
+    /// Of the whole, what was in use, sampled: time and milliunits; and what gateways had leave for.
     pub in_use: Vec<(Duration, u64)>,
     pub leave: Vec<(Duration, u64)>,
     /// Times at which no gateway kept the leave.
@@ -117,7 +117,7 @@
     read: Duration,
     /// When it ends at its engine, and whether the gateway hears of that.
     ends: Duration,
-    took: Took,
+    took: Charges,
     incarnation: u64,
     unheard: bool,
     /// Over at its engine, and its gateway, which stands still, has yet to hear of it.
@@ -154,7 +154,7 @@
     /// Of a process, all engines have answered that it asked.
     Heard(usize, u64),
     /// Of a process, an engine has answered of an execution that a process before it sent.
-    Settled(usize, u64, u64, Lingering),
+    Settled(usize, u64, u64, OrphanId),
     Planned(usize),
     Heal(usize),
     Sample,
@@ -387,7 +387,7 @@
     }
 
     /// A process that starts asks engines for each execution that it knows of, and whether they have read what it does not know of.
-    fn ask_engines(&mut self, at: usize, inherited: Vec<(Outstanding, Lingering)>) {
+    fn ask_engines(&mut self, at: usize, inherited: Vec<(Outstanding, OrphanId)>) {
         let (now, incarnation) = (self.now, self.gateways[at].incarnation);
         for (outstanding, name) in inherited {
             let id: u64 = outstanding.id.parse().expect("a number");
@@ -399,7 +399,7 @@
     }
 
     /// The engine has it, and ends it as it is told to.
-    fn settled(&mut self, at: usize, incarnation: u64, id: u64, name: Lingering) {
+    fn settled(&mut self, at: usize, incarnation: u64, id: u64, name: OrphanId) {
         if self.gateways[at].incarnation != incarnation || self.gateways[at].node.is_none() {
             return;
         }
@@ -538,17 +538,24 @@
         if demand == 0 || self.gateways[at].paused > self.now {
             return;
         }
-        let claim = Claim { workload: 0, customer: None, kind: "", weight: 1.0, mem_mb: 0.0, before: 0 };
+        let demand = Demand {
+            workload: 0,
+            customer: None,
+            kind: "",
+            weight: 1.0,
+            mem_mb: 0.0,
+            previous_executions: 0,
+        };
         let now = self.local(at);
         let Some(node) = &mut self.gateways[at].node else { return };
         let mut room = node.room(now);
-        if !room.permits(now, &claim) {
+        if !room.permits(now, &demand) {
             self.seen.refused += 1;
-            node.refused(now, &claim);
+            node.refused(now, &demand);
             let due = node.due(now);
             return self.wake_by(at, due);
         }
-        let took = room.take(&claim);
+        let took = room.charge(&demand);
         node.took(now, &took);
         self.seen.sent += 1;
         self.seen.by_gateway[at] += 1;
@@ -660,7 +667,7 @@
         let ours = gateway.incarnation;
         let runs = |own: bool| {
             let running = gateway.running.iter().filter(|x| x.ends > now && !x.over);
-            running.filter(|x| (x.incarnation == ours) == own).count() as u64 * GRAIN
+            running.filter(|x| (x.incarnation == ours) == own).count() as u64 * UNIT
         };
         let (own, others) = (runs(true), runs(false));
         match &mut gateway.node {
@@ -668,7 +675,7 @@
                 let figures = &node.figures(local)[0];
                 // What runs on unheard of its own is among what it counts as in use itself; the rest ran before it.
                 let unheard = figures.in_use.saturating_sub(own).min(others);
-                (figures.floor + figures.leave).max(own + unheard) + (others - unheard)
+                (figures.floor + figures.grant).max(own + unheard) + (others - unheard)
             }
             None => own + others,
         }
@@ -696,13 +703,13 @@
     fn sample(&mut self) {
         let now = self.now;
         let running = self.gateways.iter().flat_map(|g| &g.running);
-        let in_use = running.filter(|x| x.ends > now && !x.over).count() as u64 * GRAIN;
+        let in_use = running.filter(|x| x.ends > now && !x.over).count() as u64 * UNIT;
         self.seen.in_use.push((now, in_use));
         let (mut leave, mut kept) = (0, false);
         for at in 0..self.gateways.len() {
             let local = self.local(at);
             if let Some(node) = &mut self.gateways[at].node {
-                leave += node.figures(local).iter().map(|f| f.floor + f.leave).sum::<u64>();
+                leave += node.figures(local).iter().map(|f| f.floor + f.grant).sum::<u64>();
                 kept |= node.keeps(local);
             }
         }
--- a/crates/rig/tests/simulated.rs
+++ b/crates/rig/tests/simulated.rs
@@ -1,7 +1,7 @@
 //! Fleets in virtual time: what must hold whatever fails, how well the whole is used, and that the checkers see known mistakes.
 
-use bramblewharf_budgets::scope::ENGINES;
-use bramblewharf_budgets::GRAIN;
+use bramblewharf_budgets::scope::ENGINES_WHOLE_PPM;
+use bramblewharf_budgets::UNIT;
 use bramblewharf_fleet::Wrong;
 use bramblewharf_rig::plan::{draw, smaller, Fault, Plan};
 use bramblewharf_rig::simulated::{play, Fleet, Seen, World};
@@ -124,7 +124,7 @@
 /// engines do; without, half a second and engines' time after they have answered.
 #[test]
 fn a_killed_gateway_has_its_floor_again_soon() {
-    let floor = 2 * GRAIN;
+    let floor = 2 * UNIT;
     let back = |records: bool, seats: bool, lasts: Duration| {
         let fleet = Fleet { gateways: 5, demand: 5, ..Fleet::default() };
         let mut plan: Plan = vec![(15 * S, Fault::KillUnread(4, lasts))];
@@ -258,7 +258,7 @@
     let plan = (0..3).map(|at| (10 * S, Fault::Kill(at))).collect();
     let seen = whole(&fleet, plan, 40 * S);
     let floors = seen.leave.iter().filter(|(at, _)| *at > 20 * S).map(|(_, leave)| *leave);
-    assert!(floors.clone().all(|leave| leave == 5 * 2 * GRAIN), "{:?}", floors.collect::<Vec<_>>());
+    assert!(floors.clone().all(|leave| leave == 5 * 2 * UNIT), "{:?}", floors.collect::<Vec<_>>());
     let busy = Fleet { demand: 1000, ..fleet };
     let seen = whole(&busy, (0..3).map(|at| (10 * S, Fault::Kill(at))).collect(), 40 * S);
     let used = used(&seen, &busy, 20 * S, 40 * S);
@@ -330,7 +330,7 @@
         let fleet = Fleet {
             gateways,
             places: gateways as u32,
-            whole: 20 * gateways as u64 * GRAIN,
+            whole: 20 * gateways as u64 * UNIT,
             demand: 0,
             ..Fleet::default()
         };
@@ -343,13 +343,20 @@
 /// Three hundred places of which ninety are there lend the whole; ninety to which others come, never more.
 #[test]
 fn engines_are_lent_by_who_is_there() {
-    let fleet =
-        Fleet { gateways: 100, places: 100, whole: ENGINES, on_engines: true, demand: 0, ..Fleet::default() };
+    let fleet = Fleet {
+        gateways: 100,
+        places: 100,
+        whole: ENGINES_WHOLE_PPM,
+        on_engines: true,
+        demand: 0,
+        ..Fleet::default()
+    };
     // The upper seventy are killed, and come back later.
     let plan = (30..100).flat_map(|at| [(10 * S, Fault::Kill(at)), (24 * S, Fault::Start(at))]).collect();
     let seen = whole(&fleet, plan, 40 * S);
-    let lent =
-        |at: Duration| seen.leave.iter().rfind(|(when, _)| *when <= at).unwrap().1 as f64 / ENGINES as f64;
+    let lent = |at: Duration| {
+        seen.leave.iter().rfind(|(when, _)| *when <= at).unwrap().1 as f64 / ENGINES_WHOLE_PPM as f64
+    };
     let (all, thirty, back) = (lent(9800 * MS), lent(23_900 * MS), lent(39_900 * MS));
     assert!(all > 0.97 && back > 0.97, "{all} {back}");
     // All but the floors of those that are not there.
@@ -359,7 +366,7 @@
 #[test]
 fn a_budget_smaller_than_the_fleet_goes_round() {
     let fleet =
-        Fleet { gateways: 6, places: 6, whole: 3 * GRAIN, floor_percent: 0, demand: 100, ..Fleet::default() };
+        Fleet { gateways: 6, places: 6, whole: 3 * UNIT, floor_percent: 0, demand: 100, ..Fleet::default() };
     let seen = whole(&fleet, vec![], 60 * S);
     let (least, most) = (seen.by_gateway.iter().min().unwrap(), seen.by_gateway.iter().max().unwrap());
     assert!(least * 2 > *most, "{:?}", seen.by_gateway);
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -7,7 +7,7 @@
 
 use crate::interface::*;
 use crate::state::*;
-use bramblewharf_budgets::Claim;
+use bramblewharf_budgets::Demand;
 use bramblewharf_turns::{mix, signals, subsets, Draw, Reach, Signals, Turn};
 use gate::misplaced;
 pub use gate::Rule;
@@ -153,7 +153,7 @@
     unread: Vec<Id>,
     /// While a list of an earlier number was heard last: the engines that are up by it.
     disputed: Option<BTreeSet<Id>>,
-    room: Room,
+    room: Headroom,
     actions: Vec<Action>,
     /// Why the statement at hand has no engine, and the statements given up by the event at hand.
     refusal: Refusal,
@@ -178,7 +178,7 @@
             reach: Reach::start(subsets::Terms::default(), draw), signals: Signals::start(terms, seed),
             list_due: site.list_is_asked.then_some(now), subscribed: false, list_at: now, list_failed: false,
             lease: ListLease::new(site.drain_grace), unread: Vec::new(), disputed: None,
-            room: Room::default(), began: now, closes: None, refusal: Refusal::NoEngine, refused: Vec::new(),
+            room: Headroom::default(), began: now, closes: None, refusal: Refusal::NoEngine, refused: Vec::new(),
             site,
         };
         chooser.beat(now);
@@ -378,7 +378,7 @@
     /// This gateway's part of an engine: by members, else as configured; among sharers an equal one at most.
     fn share(&self, now: Duration, engine: &Engine) -> f64 {
         let (all, sharers) = (f64::from(self.site.gateways.max(1)), engine.part.sharers);
-        let share = self.room.share(now).unwrap_or(1.0 / all) * (all / sharers);
+        let share = self.room.engine_share(now).unwrap_or(1.0 / all) * (all / sharers);
         share.min(if sharers < all { 1.0 / sharers } else { 1.0 })
     }
     fn capacity(&self, now: Duration, engine: &Engine) -> f64 {
@@ -414,8 +414,8 @@
         let (mem_mb, priority) = (self.grant(stmt, &engine), self.priority(stmt));
         let (work, group) = (row.work.0, stmt.said.table_group.filter(|_| row.terms.holds_group));
         if let Some(to) = self.engines.get(&engine).filter(|_| !self.room.is_off()) {
-            let claim = self.claim(stmt, to);
-            let took = self.room.take(&claim);
+            let demand = self.demand(stmt, to);
+            let took = self.room.charge(&demand);
             self.actions.push(Action::Takes { id: id.clone(), took });
         }
         let Some(to) = self.engines.get_mut(&engine) else { return Input::NoRoom };
--- a/src/choice/gate.rs
+++ b/src/choice/gate.rs
@@ -30,7 +30,7 @@
             (Rule::Placement, misplaced(row, &to.entry)),
             (Rule::Budget, tries > 0 && !self.budget_has_room(now, stmt.cost_nothing())),
             (Rule::Cold, !self.cold_has_room(now, to, row)),
-            (Rule::Leave, !self.room.permits(now, &self.claim(stmt, to))),
+            (Rule::Leave, !self.room.permits(now, &self.demand(stmt, to))),
         ];
         let first = broken.iter().find(|(_, broken)| *broken).map(|(rule, _)| *rule);
         first.or_else(|| self.passes(now, stmt, &stmt.executions, to))
@@ -59,10 +59,18 @@
         broken.iter().find(|(_, broken)| *broken).map(|(rule, _)| *rule)
     }
 
-    pub(super) fn claim<'a>(&self, stmt: &Stmt, to: &'a Engine) -> Claim<'a> {
-        let (before, mem_mb) = (stmt.executions.len() as u32, stmt.said.est_mem_mb.unwrap_or(0.0));
+    pub(super) fn demand<'a>(&self, stmt: &Stmt, to: &'a Engine) -> Demand<'a> {
+        let (previous_executions, mem_mb) =
+            (stmt.executions.len() as u32, stmt.said.est_mem_mb.unwrap_or(0.0));
         let (workload, customer) = (stmt.said.workload, stmt.said.customer);
-        Claim { workload, customer, kind: &to.entry.kind, weight: self.weight(stmt), mem_mb, before }
+        Demand {
+            workload,
+            customer,
+            kind: &to.entry.kind,
+            weight: self.weight(stmt),
+            mem_mb,
+            previous_executions,
+        }
     }
 
     fn repeat_is_harmless(&self, now: Duration, stmt: &Stmt, before: &[Execution], to: &Engine) -> bool {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
 //! Types only: what the site states, what a gateway is told, what it answers.
 
-pub use bramblewharf_budgets::usage::{Room, Took};
+pub use bramblewharf_budgets::usage::{Charges, Headroom};
 pub use bramblewharf_turns::{Said, Word};
 use std::sync::Arc;
 use std::time::Duration;
@@ -225,7 +225,7 @@
         said: Said,
     },
     /// What is left of this gateway's parts of budgets that are the whole fleet's.
-    Room(Room),
+    Room(Headroom),
     /// A message that cannot be read; nothing is owed for it.
     Nothing,
     Timer(u64),
@@ -246,7 +246,7 @@
     /// What the send that follows takes of budgets; told only where there are any.
     Takes {
         id: Id,
-        took: Took,
+        took: Charges,
     },
     Cancel {
         id: Id,
