--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between gateways: datagrams, which may be late, lost or forged.
 
 use crate::config::Peers as Addresses;
-use bramblewharf::interface::{Event, Said};
+use bramblewharf::interface::{Event, GossipMessage};
 use bramblewharf_site::message;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -31,7 +31,7 @@
     }
 
     /// Sends at once or not at all: what is told of loads is soon told again.
-    pub fn tell(&self, to: Option<u32>, said: &Said) {
+    pub fn tell(&self, to: Option<u32>, said: &GossipMessage) {
         let addresses = self.addresses.borrow();
         let address = match to {
             None => addresses.all,
@@ -39,7 +39,7 @@
             Some(peer) => addresses.each.get(peer as usize).copied(),
         };
         if let Some(address) = address {
-            let _ = self.socket.try_send_to(&said.write(), address);
+            let _ = self.socket.try_send_to(&said.encode(), address);
         }
     }
 
--- a/crates/gateway/src/reducer/io.rs
+++ b/crates/gateway/src/reducer/io.rs
@@ -170,7 +170,7 @@
     },
     Tell {
         to: Option<u32>,
-        said: Said,
+        said: GossipMessage,
     },
     /// To be written to the record of what is out before whatever follows.
     Record(outstanding::Write),
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -4,8 +4,8 @@
 use bramblewharf_gateway::config;
 use bramblewharf_gateway::names::{read_answer, Asker, Word};
 use bramblewharf_standins::{answer, nobody, read_message, Call, Engine, Reply, LONG};
-use bramblewharf_turns::words::Word as Told;
-use bramblewharf_turns::{Mark, Said};
+use bramblewharf_turns::message::Observation as Told;
+use bramblewharf_turns::{EngineHash, GossipMessage};
 use common::names::*;
 use common::program::*;
 use common::*;
@@ -824,8 +824,8 @@
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     // A stranger's word of two loads on the only engine, and words that cannot be read, change nothing.
     let told = |loads| {
-        let words = vec![Told::Holds { engine: Mark::of("e0"), group: 17, loads }];
-        Said { zone: 0, words }.write()
+        let words = vec![Told::Loads { engine: EngineHash::of("e0"), group: 17, loads }];
+        GossipMessage { zone: 0, observations: words }.encode()
     };
     stranger.send_to(&told(2), own).unwrap();
     for bad in [&b"\xff\xfe"[..], b"", &told(2)[..9], b"2 17 e0", &[b'2'; 300]] {
@@ -875,7 +875,7 @@
         (
             "/settings/profiles/0/promiseUs",
             json!(0),
-            "settings.profiles[0].promiseUs: 0 is not a span above 0",
+            "settings.profiles[0].promiseUs: 0 is not a duration above 0",
         ),
         ("/settings/profiles", json!([]), "settings.profiles: names no workload"),
     ] {
--- a/crates/rig/src/scale/decide.rs
+++ b/crates/rig/src/scale/decide.rs
@@ -10,13 +10,13 @@
 use super::room;
 use crate::counted::{self, Allocated};
 use bramblewharf::interface::{
-    ColdStart, Customer, Effect as Repeats, EngineEntry, EngineState, Event, Id, Kind, ListKind,
-    NewStatement, Outcome, Report, Said, Site, Word, WorkloadTerms,
+    ColdStart, Customer, Effect as Repeats, EngineEntry, EngineState, Event, GossipMessage, Id, Kind,
+    ListKind, NewStatement, Observation, Outcome, Report, Site, WorkloadTerms,
 };
 use bramblewharf_gateway::reducer::{
     AfterCancel, Answer, Effect, Ending, Input, Listed, Parcel, Reducer, Taken, Text,
 };
-use bramblewharf_turns::Mark;
+use bramblewharf_turns::EngineHash;
 use bytes::Bytes;
 use nanorand::{Rng, WyRand};
 use rustix::time::{clock_gettime, ClockId};
@@ -532,13 +532,13 @@
         }
     }
 
-    fn tell(&mut self, to: Option<u32>, said: &Said) {
+    fn tell(&mut self, to: Option<u32>, said: &GossipMessage) {
         let many = if to.is_some() { 1 } else { self.size.gateways as u64 - 1 };
-        for word in &said.words {
+        for word in &said.observations {
             match word {
-                Word::Ill { .. } => self.told.ill += many,
-                Word::Well { .. } => self.told.well += many,
-                Word::Holds { .. } => self.told.of_loads += many,
+                Observation::Unhealthy { .. } => self.told.ill += many,
+                Observation::Healthy { .. } => self.told.well += many,
+                Observation::Loads { .. } => self.told.of_loads += many,
             }
         }
     }
@@ -612,9 +612,9 @@
     fn hear_of_loads(&mut self) -> Duration {
         let before = self.spent;
         for _ in 0..WORDS {
-            let engine = Mark::of(&self.engines[self.rng.generate_range(0..self.size.engines)].id);
-            let word = Word::Holds { engine, group: self.rng.generate_range(0..200), loads: 1 };
-            let said = Said { words: vec![word], ..Said::default() };
+            let engine = EngineHash::of(&self.engines[self.rng.generate_range(0..self.size.engines)].id);
+            let word = Observation::Loads { engine, group: self.rng.generate_range(0..200), loads: 1 };
+            let said = GossipMessage { observations: vec![word], ..GossipMessage::default() };
             // Not from itself: that would be no other's.
             let from = (self.size.gateways / 2 + 1) as u32 % self.size.gateways as u32;
             self.step(Input::Told(Event::Told { from, said }));
--- a/crates/rig/src/scale/hollow/gateway.rs
+++ b/crates/rig/src/scale/hollow/gateway.rs
@@ -197,7 +197,7 @@
                 let address = to.filter(|peer| *peer as usize != self.at);
                 let address = address.and_then(|peer| self.shared.peers.get(peer as usize).copied());
                 if let Some(address) = address {
-                    self.send(WORDS, &said.write(), address);
+                    self.send(WORDS, &said.encode(), address);
                 }
             }
         }
--- a/crates/rig/tests/signals.rs
+++ b/crates/rig/tests/signals.rs
@@ -3,7 +3,7 @@
 
 use bramblewharf_rig::relay::Streams;
 use bramblewharf_rig::world::{Clients, Plan, World};
-use bramblewharf_turns::{Mark, Said, Word};
+use bramblewharf_turns::{EngineHash, GossipMessage, Observation};
 use std::net::UdpSocket;
 use std::path::Path;
 use std::time::Duration;
@@ -69,8 +69,11 @@
     let usual = completed(&clients) - before;
     for _ in 0..200 {
         for (engine, zone) in (0..world.plan.engines).flat_map(|engine| [(engine, 1), (engine, 2)]) {
-            let words = vec![Word::Ill { engine: Mark::of(&format!("e-{engine}")), age: Duration::ZERO }];
-            let said = Said { zone, words }.write();
+            let words = vec![Observation::Unhealthy {
+                engine: EngineHash::of(&format!("e-{engine}")),
+                age: Duration::ZERO,
+            }];
+            let said = GossipMessage { zone, observations: words }.encode();
             world.peers().for_each(|peer| drop(liar.send_to(&said, peer)));
         }
         std::thread::sleep(10 * MS);
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a site states, read from its settings, and the bytes of the messages between gateways. Shared by
-//! everything that carries the decisions: translation only.
+//! The settings of a site and the bytes of the messages between gateways, converted to the types of the decisions. Shared by
+//! the gateway and the wire host.
 
 pub mod message;
 pub mod settings;
--- a/crates/site/src/message.rs
+++ b/crates/site/src/message.rs
@@ -1,8 +1,8 @@
-//! Messages between gateways, as bytes.
+//! Decodes messages between gateways.
 
-use bramblewharf::interface::{Event, Said};
+use bramblewharf::interface::{Event, GossipMessage};
 
-/// What another gateway told; a message that cannot be read says nothing.
+/// The event of a message from another gateway; `Event::Nothing` if it cannot be decoded.
 pub fn read(from: u32, message: &[u8]) -> Event {
-    Said::read(message).map_or(Event::Nothing, |said| Event::Told { from, said })
+    GossipMessage::decode(message).map_or(Event::Nothing, |said| Event::Told { from, said })
 }
--- a/crates/site/src/settings.rs
+++ b/crates/site/src/settings.rs
@@ -1,45 +1,46 @@
-//! The settings of the wire's first message, read into what the site states.
+//! Parses the settings of a site from JSON into the types of the decisions.
 
 use bramblewharf::interface::*;
 use serde_json::Value;
 use std::time::Duration;
 
-/// Names that later lines use.
+/// Names that later messages refer to, by index.
 #[derive(Clone, Debug)]
 pub struct Names {
     pub workloads: Vec<String>,
     pub customers: Vec<String>,
+    /// Whether the fields `x0` and `x1` of a load report are granted memory and busy disks.
     pub x0_is_memory: bool,
     pub x1_is_disks: bool,
 }
 
 impl Names {
-    /// A load report, from what an engine tells by the names of the settings.
-    pub fn report(&self, told: impl Fn(&str) -> Option<f64>) -> Report {
+    /// A load report; `value` looks up the fields that an engine reports, by their names.
+    pub fn report(&self, value: impl Fn(&str) -> Option<f64>) -> Report {
         Report {
-            utilisation: told("cpu_share"),
-            held: told("busy_reqs"),
-            mem_waiting: told("pending"),
-            mem_granted: told("x0").filter(|_| self.x0_is_memory),
-            disks_busy: told("x1").filter(|_| self.x1_is_disks),
+            utilisation: value("cpu_share"),
+            held: value("busy_reqs"),
+            mem_waiting: value("pending"),
+            mem_granted: value("x0").filter(|_| self.x0_is_memory),
+            disks_busy: value("x1").filter(|_| self.x1_is_disks),
         }
     }
 }
 
-/// One object of the settings, and where it stands.
-struct Part<'a> {
+/// One object of the settings, with its path for error messages.
+struct Section<'a> {
     path: String,
     value: &'a Value,
 }
 
-type Read<T> = Result<T, String>;
+type Parsed<T> = Result<T, String>;
 
-impl<'a> Part<'a> {
-    fn part(&self, key: &str) -> Read<Part<'a>> {
+impl<'a> Section<'a> {
+    fn section(&self, key: &str) -> Parsed<Section<'a>> {
         let value = self.get(key);
         match value {
-            Value::Object(_) | Value::Null => Ok(Part { path: format!("{}.{key}", self.path), value }),
-            other => Err(self.wrong(key, other, "an object")),
+            Value::Object(_) | Value::Null => Ok(Section { path: format!("{}.{key}", self.path), value }),
+            other => Err(self.type_error(key, other, "an object")),
         }
     }
 
@@ -47,141 +48,143 @@
         self.value.get(key).unwrap_or(&Value::Null)
     }
 
-    fn wrong(&self, key: &str, value: &Value, want: &str) -> String {
-        format!("member {}.{key}: {value} is not {want}", self.path)
+    fn type_error(&self, key: &str, value: &Value, expected: &str) -> String {
+        format!("member {}.{key}: {value} is not {expected}", self.path)
     }
 
-    fn number(&self, key: &str, absent: f64) -> Read<f64> {
+    fn number(&self, key: &str, default: f64) -> Parsed<f64> {
         match self.get(key) {
-            Value::Null => Ok(absent),
-            v => v.as_f64().filter(|n| *n >= 0.0).ok_or_else(|| self.wrong(key, v, "a number from 0")),
+            Value::Null => Ok(default),
+            v => v.as_f64().filter(|n| *n >= 0.0).ok_or_else(|| self.type_error(key, v, "a number from 0")),
         }
     }
 
-    fn above_zero(&self, key: &str, absent: f64) -> Read<f64> {
-        let n = self.number(key, absent)?;
+    fn above_zero(&self, key: &str, default: f64) -> Parsed<f64> {
+        let n = self.number(key, default)?;
         if n > 0.0 {
             Ok(n)
         } else {
-            Err(self.wrong(key, self.get(key), "above 0"))
+            Err(self.type_error(key, self.get(key), "above 0"))
         }
     }
 
-    fn micros(&self, key: &str) -> Read<Option<Duration>> {
+    fn micros(&self, key: &str) -> Parsed<Option<Duration>> {
         match self.get(key) {
             Value::Null => Ok(None),
             v => match v.as_u64() {
                 Some(n) => Ok(Some(Duration::from_micros(n))),
-                None => Err(self.wrong(key, v, "a whole number of microseconds")),
+                None => Err(self.type_error(key, v, "a whole number of microseconds")),
             },
         }
     }
 
-    fn span(&self, key: &str) -> Read<Duration> {
+    fn positive_duration(&self, key: &str) -> Parsed<Duration> {
         match self.micros(key)? {
             Some(span) if !span.is_zero() => Ok(span),
-            _ => Err(self.wrong(key, self.get(key), "a span above 0")),
+            _ => Err(self.type_error(key, self.get(key), "a duration above 0")),
         }
     }
 
-    fn truth(&self, key: &str, absent: bool) -> Read<bool> {
+    fn boolean(&self, key: &str, default: bool) -> Parsed<bool> {
         match self.get(key) {
-            Value::Null => Ok(absent),
-            v => v.as_bool().ok_or_else(|| self.wrong(key, v, "true or false")),
+            Value::Null => Ok(default),
+            v => v.as_bool().ok_or_else(|| self.type_error(key, v, "true or false")),
         }
     }
 
-    fn text(&self, key: &str, absent: &'a str) -> Read<&'a str> {
+    fn string(&self, key: &str, default: &'a str) -> Parsed<&'a str> {
         match self.get(key) {
-            Value::Null => Ok(absent),
-            v => v.as_str().ok_or_else(|| self.wrong(key, v, "a text")),
+            Value::Null => Ok(default),
+            v => v.as_str().ok_or_else(|| self.type_error(key, v, "a string")),
         }
     }
 
-    fn list(&self, key: &str) -> Read<&'a [Value]> {
+    fn list(&self, key: &str) -> Parsed<&'a [Value]> {
         match self.get(key) {
             Value::Null => Ok(&[]),
             Value::Array(list) => Ok(list),
-            v => Err(self.wrong(key, v, "a list")),
+            v => Err(self.type_error(key, v, "a list")),
         }
     }
 
-    fn names(&self, key: &str) -> Read<Option<Vec<Id>>> {
+    fn names(&self, key: &str) -> Parsed<Option<Vec<Id>>> {
         if self.get(key).is_null() {
             return Ok(None);
         }
-        let name = |v: &Value| v.as_str().map(Id::from).ok_or_else(|| self.wrong(key, v, "a name"));
-        self.list(key)?.iter().map(name).collect::<Read<Vec<Id>>>().map(Some)
+        let name = |v: &Value| v.as_str().map(Id::from).ok_or_else(|| self.type_error(key, v, "a name"));
+        self.list(key)?.iter().map(name).collect::<Parsed<Vec<Id>>>().map(Some)
     }
 
-    /// The figure for one row of a list that runs beside another; `None` where it is not told.
-    fn row(&self, key: &str, at: usize) -> Read<Option<f64>> {
+    /// The number at an index of a list that is parallel to another; `None` if it is missing or null.
+    fn positive_number_at(&self, key: &str, at: usize) -> Parsed<Option<f64>> {
         match self.list(key)?.get(at) {
             None | Some(Value::Null) => Ok(None),
             Some(v) => match v.as_f64().filter(|n| *n > 0.0) {
                 Some(n) => Ok(Some(n)),
-                None => Err(self.wrong(key, v, "above 0")),
+                None => Err(self.type_error(key, v, "above 0")),
             },
         }
     }
 
-    fn flag(&self, key: &str, at: usize) -> Read<bool> {
+    fn boolean_at(&self, key: &str, at: usize) -> Parsed<bool> {
         match self.list(key)?.get(at) {
             None | Some(Value::Null) => Ok(false),
-            Some(v) => v.as_bool().ok_or_else(|| self.wrong(key, v, "true or false")),
+            Some(v) => v.as_bool().ok_or_else(|| self.type_error(key, v, "true or false")),
         }
     }
 
-    fn rows(&self, key: &str) -> Read<Vec<Part<'a>>> {
-        let row = |(at, value)| Part { path: format!("{}.{key}[{at}]", self.path), value };
-        Ok(self.list(key)?.iter().enumerate().map(row).collect())
+    fn sections(&self, key: &str) -> Parsed<Vec<Section<'a>>> {
+        let section = |(at, value)| Section { path: format!("{}.{key}[{at}]", self.path), value };
+        Ok(self.list(key)?.iter().enumerate().map(section).collect())
     }
 }
 
-pub fn read(conf: &Value) -> Read<(Site, Names)> {
+/// Parses the settings object of a site.
+pub fn read(conf: &Value) -> Parsed<(Site, Names)> {
     if !conf.is_object() {
         return Err(format!("member conf: {conf} is not an object"));
     }
-    let conf = Part { path: "conf".into(), value: conf };
-    let (allowed, rules, domain) = (conf.part("allowed")?, conf.part("rules")?, conf.part("domain")?);
+    let conf = Section { path: "conf".into(), value: conf };
+    let (allowed, rules, domain) =
+        (conf.section("allowed")?, conf.section("rules")?, conf.section("domain")?);
     let mut names = Names {
         workloads: Vec::new(),
         customers: Vec::new(),
-        x0_is_memory: domain.text("reportX0", "")?.contains("memory"),
-        x1_is_disks: domain.text("reportX1", "")?.contains("disk"),
+        x0_is_memory: domain.string("reportX0", "")?.contains("memory"),
+        x1_is_disks: domain.string("reportX1", "")?.contains("disk"),
     };
     let mut workloads = Vec::new();
-    for (at, row) in conf.rows("profiles")?.iter().enumerate() {
-        names.workloads.push(row.text("name", "")?.to_string());
-        workloads.push(workload(row, &domain, at)?);
+    for (at, profile) in conf.sections("profiles")?.iter().enumerate() {
+        names.workloads.push(profile.string("name", "")?.to_string());
+        workloads.push(workload(profile, &domain, at)?);
     }
     if workloads.is_empty() {
         return Err("member conf.profiles: names no workload".into());
     }
     let mut customers = Vec::new();
-    for row in conf.rows("tenants")? {
-        let name = row.text("name", "")?;
+    for tenant in conf.sections("tenants")? {
+        let name = tenant.string("name", "")?;
         names.customers.push(name.to_string());
-        let allowance_per_s = row.number("allowancePerS", f64::INFINITY)?;
+        let allowance_per_s = tenant.number("allowancePerS", f64::INFINITY)?;
         customers.push(Customer { name: name.into(), allowance_per_s });
     }
     let mut kinds = Vec::new();
     for (at, name) in conf.names("kinds")?.unwrap_or_default().into_iter().enumerate() {
         kinds.push(Kind {
             name,
-            cores: domain.row("sizeCores", at)?,
-            mem_mb: domain.row("kindMemoryMb", at)?,
+            cores: domain.positive_number_at("sizeCores", at)?,
+            mem_mb: domain.positive_number_at("kindMemoryMb", at)?,
         });
     }
     let budget = match rules.micros("budgetSpanUs")? {
         None => None,
         Some(_) => Some(Budget {
-            span: rules.span("budgetSpanUs")?,
+            span: rules.positive_duration("budgetSpanUs")?,
             free: rules.number("extraFree", 0.0)?,
             share: rules.number("repeatRatio", 0.0)?,
         }),
     };
-    let asked = match conf.text("discovery", "pushed")? {
+    let is_asked = match conf.string("discovery", "pushed")? {
         "pushed" => false,
         "on_request" => true,
         other => return Err(format!("member conf.discovery: {other} is not known")),
@@ -189,7 +192,7 @@
     let site = Site {
         gateway: conf.number("rank", 0.0)? as u32,
         gateways: conf.above_zero("balancers", 1.0)? as u32,
-        zone: conf.text("zone", "")?.into(),
+        zone: conf.string("zone", "")?.into(),
         tick: conf.micros("tickUs")?.unwrap_or(Duration::from_millis(1)),
         workloads,
         customers,
@@ -200,55 +203,55 @@
             multiple: rules.number("fallMultiple", 1.0)?,
             window: match rules.micros("tipAfterUs")? {
                 None => Duration::from_secs(1),
-                Some(_) => rules.span("tipAfterUs")?,
+                Some(_) => rules.positive_duration("tipAfterUs")?,
             },
         },
         budget,
         order_pause: rules.micros("orderPauseUs")?.unwrap_or_default(),
         drain_grace: rules.micros("stopSendingWithinUs")?.unwrap_or_default(),
-        list_is_asked: asked,
-        list_ask_every: if asked { rules.span("askEveryUs")? } else { Duration::ZERO },
+        list_is_asked: is_asked,
+        list_ask_every: if is_asked { rules.positive_duration("askEveryUs")? } else { Duration::ZERO },
         execution_limit: allowed.above_zero("tryLimit", 1.0)? as usize,
-        second_copies: allowed.truth("secondCopies", false)?,
-        may_cancel: allowed.truth("mayCancel", false)?,
-        may_tell: allowed.truth("peers", false)?,
-        max_retry_after: match allowed.truth("retryAfter", false)? {
+        second_copies: allowed.boolean("secondCopies", false)?,
+        may_cancel: allowed.boolean("mayCancel", false)?,
+        may_tell: allowed.boolean("peers", false)?,
+        max_retry_after: match allowed.boolean("retryAfter", false)? {
             true => allowed.micros("maxRetryAfterUs")?,
             false => None,
         },
-        crossing_priced: conf.part("prices")?.number("crossZone", 0.0)? > 0.0,
-        grants_heeded: domain.truth("takesGrants", false)?,
+        crossing_priced: conf.section("prices")?.number("crossZone", 0.0)? > 0.0,
+        grants_heeded: domain.boolean("takesGrants", false)?,
         max_grant_share: domain.number("maxGrantShare", 1.0)?,
-        priorities_heeded: domain.truth("lanesCount", false)?,
+        priorities_heeded: domain.boolean("lanesCount", false)?,
         over_share_value: conf.number("overShareWorth", 1.0)?,
     };
     Ok((site, names))
 }
 
-fn workload(row: &Part, domain: &Part, at: usize) -> Read<WorkloadTerms> {
-    let group = match row.text("group", "all")? {
+fn workload(profile: &Section, domain: &Section, at: usize) -> Parsed<WorkloadTerms> {
+    let group = match profile.string("group", "all")? {
         "all" => DedupGroup::All,
         "zone" => DedupGroup::Zone,
         "cell" => DedupGroup::Cell,
-        other => return Err(format!("member {}.group: {other} is not known", row.path)),
+        other => return Err(format!("member {}.group: {other} is not known", profile.path)),
     };
     Ok(WorkloadTerms {
-        threads: domain.row("classThreads", at)?.unwrap_or(1.0),
-        importance: row.number("gain", 1.0)?,
-        slo_time: row.span("promiseUs")?,
-        slo_stretch: row.number("aimStretch", 0.0)?,
-        late_value: row.number("lateValue", 0.0)?,
-        effect: match row.text("effect", "non_idempotent")? {
+        threads: domain.positive_number_at("classThreads", at)?.unwrap_or(1.0),
+        importance: profile.number("gain", 1.0)?,
+        slo_time: profile.positive_duration("promiseUs")?,
+        slo_stretch: profile.number("aimStretch", 0.0)?,
+        late_value: profile.number("lateValue", 0.0)?,
+        effect: match profile.string("effect", "non_idempotent")? {
             "read_like" => Effect::Idempotent,
             "idempotency_key" => Effect::Deduplicated(group),
             "non_idempotent" => Effect::NonIdempotent,
-            other => return Err(format!("member {}.effect: {other} is not known", row.path)),
+            other => return Err(format!("member {}.effect: {other} is not known", profile.path)),
         },
-        dedup_span: row.micros("memorySpanUs")?.unwrap_or_default(),
-        zones: row.names("zonesOnly")?,
-        kinds: row.names("servedOn")?,
-        ordered: row.truth("keepOrder", false)?,
-        holds_group: domain.flag("classLoad", at)?,
-        waits_for_group: domain.flag("blockedByLoads", at)?,
+        dedup_span: profile.micros("memorySpanUs")?.unwrap_or_default(),
+        zones: profile.names("zonesOnly")?,
+        kinds: profile.names("servedOn")?,
+        ordered: profile.boolean("keepOrder", false)?,
+        holds_group: domain.boolean_at("classLoad", at)?,
+        waits_for_group: domain.boolean_at("blockedByLoads", at)?,
     })
 }
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! Carries the bench's JSON wire to the decisions: one instance a gateway, nothing shared between them.
+//! Connects the JSON protocol of the bench to the decisions: one instance per gateway, with nothing shared between them.
 
 mod wire;
 
@@ -11,10 +11,10 @@
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::time::Duration;
-use wire::{Line, Sheets};
+use wire::{EngineLists, Line};
 
-/// Where the last fault inside the decisions was, for `bug`.
-static FAULT: Mutex<String> = Mutex::new(String::new());
+/// The last panic inside the decisions, for the `bug` reply.
+static LAST_PANIC: Mutex<String> = Mutex::new(String::new());
 
 struct Instance {
     chooser: Chooser,
@@ -23,8 +23,8 @@
 
 fn main() -> ExitCode {
     std::panic::set_hook(Box::new(|info| {
-        if let Ok(mut fault) = FAULT.lock() {
-            *fault = info.to_string().replace('\n', " ");
+        if let Ok(mut last) = LAST_PANIC.lock() {
+            *last = info.to_string().replace('\n', " ");
         }
     }));
     match serve() {
@@ -40,19 +40,20 @@
     let mut host = Host::default();
     let mut input = std::io::stdin().lock();
     let mut output = std::io::stdout().lock();
-    let mut text = Vec::new();
+    let mut buffer = Vec::new();
     for number in 1.. {
-        text.clear();
-        if input.read_until(b'\n', &mut text).map_err(|e| format!("line {number}: cannot be read: {e}"))? == 0
+        buffer.clear();
+        if input.read_until(b'\n', &mut buffer).map_err(|e| format!("line {number}: cannot be read: {e}"))?
+            == 0
         {
             break;
         }
-        let text = text.trim_ascii();
+        let text = buffer.trim_ascii();
         if text.is_empty() {
             continue;
         }
         let line = Line::parse(text).map_err(|e| format!("line {number}: {e}"))?;
-        if host.line(&line).map_err(|e| format!("line {number}: {e}"))? {
+        if host.handle_line(&line).map_err(|e| format!("line {number}: {e}"))? {
             host.reply.push_str("[\"finished\"]\n");
             let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
             written.map_err(|e| format!("line {number}: the reply cannot be written: {e}"))?;
@@ -68,78 +69,78 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<String, Instance>,
-    sheets: Sheets,
-    /// The clock of the batch that is open.
+    engine_lists: EngineLists,
+    /// The clock of the open batch.
     now: Option<Duration>,
     reply: String,
 }
 
 impl Host {
-    /// Takes one line; true at the end of a batch.
-    fn line(&mut self, line: &Line) -> Result<bool, String> {
+    /// Handles one line; true at the end of a batch.
+    fn handle_line(&mut self, line: &Line) -> Result<bool, String> {
         if line.name == "beginBatch" {
             if self.now.is_some() {
-                return Err("beginBatch: the batch before has not ended".into());
+                return Err("beginBatch: the previous batch has not ended".into());
             }
             self.now = Some(line.micros(1, "clock")?);
             return Ok(false);
         }
-        let now = self.now.ok_or_else(|| format!("{}: stands outside a batch", line.name))?;
+        let now = self.now.ok_or_else(|| format!("{}: is outside of a batch", line.name))?;
         match line.name.as_str() {
             "overToYou" => {
                 self.now = None;
                 return Ok(true);
             }
-            "sheet" => self.sheets.read(line)?,
+            "sheet" => self.engine_lists.read(line)?,
             "powerOn" => {
-                let gateway = line.text(1, "gatewayId")?;
-                let seed = line.whole(2, "entropy")?;
-                let (site, names) = bramblewharf_site::read(line.any(3)).map_err(|e| line.fault(&e))?;
+                let gateway = line.string(1, "gatewayId")?;
+                let seed = line.unsigned(2, "entropy")?;
+                let (site, names) = bramblewharf_site::read(line.value(3)).map_err(|e| line.error(&e))?;
                 let started = catch_unwind(AssertUnwindSafe(|| Chooser::start(site, seed, now)));
                 match started {
                     Ok((chooser, actions)) => {
                         self.instances.insert(gateway.to_string(), Instance { chooser, names });
-                        self.answer(gateway, &actions);
+                        self.write_actions(gateway, &actions);
                     }
-                    Err(_) => self.fault(gateway),
+                    Err(_) => self.write_bug(gateway),
                 }
             }
             "destroy" => {
-                self.instances.remove(line.text(1, "gatewayId")?);
+                self.instances.remove(line.string(1, "gatewayId")?);
             }
-            // Probes are never asked for, so their results are owed nothing.
+            // Health probes are never requested, so their results are ignored.
             "healthResult" => {}
             _ => {
-                let gateway = line.text(1, "gatewayId")?;
-                let unknown = || line.fault(&format!("member gatewayId: {gateway} has not been started"));
+                let gateway = line.string(1, "gatewayId")?;
+                let unknown = || line.error(&format!("member gatewayId: {gateway} has not been started"));
                 let instance = self.instances.get_mut(gateway).ok_or_else(unknown)?;
-                let event = wire::event(line, &instance.names, &self.sheets)?;
-                self.hand(gateway, now, event);
+                let event = wire::event(line, &instance.names, &self.engine_lists)?;
+                self.handle_event(gateway, now, event);
             }
         }
         Ok(false)
     }
 
-    fn hand(&mut self, gateway: &str, now: Duration, event: Event) {
+    fn handle_event(&mut self, gateway: &str, now: Duration, event: Event) {
         let Some(instance) = self.instances.get_mut(gateway) else { return };
         match catch_unwind(AssertUnwindSafe(|| instance.chooser.event(now, event))) {
-            Ok(actions) => self.answer(gateway, &actions),
-            Err(_) => self.fault(gateway),
+            Ok(actions) => self.write_actions(gateway, &actions),
+            Err(_) => self.write_bug(gateway),
         }
     }
 
-    fn answer(&mut self, gateway: &str, actions: &[Action]) {
-        // Budgets of a fleet are never told here, and so nothing is ever taken of them.
-        let told = actions.iter().filter(|action| !matches!(action, Action::Takes { .. }));
-        for action in told {
+    fn write_actions(&mut self, gateway: &str, actions: &[Action]) {
+        // There are no fleet budgets here, so nothing is charged to them.
+        let written = actions.iter().filter(|action| !matches!(action, Action::Takes { .. }));
+        for action in written {
             self.reply.push_str(&wire::action(gateway, action));
             self.reply.push('\n');
         }
     }
 
-    fn fault(&mut self, gateway: &str) {
-        let what = FAULT.lock().map(|f| f.clone()).unwrap_or_default();
-        self.reply.push_str(&serde_json::json!(["bug", gateway, what]).to_string());
+    fn write_bug(&mut self, gateway: &str) {
+        let message = LAST_PANIC.lock().map(|f| f.clone()).unwrap_or_default();
+        self.reply.push_str(&serde_json::json!(["bug", gateway, message]).to_string());
         self.reply.push('\n');
     }
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire, to and from the types of the decisions.
+//! Lines of the JSON protocol, converted to and from the types of the decisions.
 
 use base64::{engine::general_purpose::STANDARD, Engine as _};
 use bramblewharf::interface::*;
@@ -7,6 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
+/// One line: a JSON array that begins with the name of an event.
 pub struct Line {
     pub name: String,
     values: Vec<Value>,
@@ -22,56 +23,56 @@
         }
     }
 
-    pub fn fault(&self, what: &str) -> String {
-        format!("{}: {what}", self.name)
+    pub fn error(&self, message: &str) -> String {
+        format!("{}: {message}", self.name)
     }
 
-    /// A member; null when absent.
-    pub fn any(&self, at: usize) -> &Value {
+    /// The member at an index; null if it is missing.
+    pub fn value(&self, at: usize) -> &Value {
         self.values.get(at).unwrap_or(&Value::Null)
     }
 
-    fn is<'a, T>(
+    fn typed<'a, T>(
         &'a self,
         at: usize,
         member: &str,
-        want: &str,
-        as_: fn(&'a Value) -> Option<T>,
+        expected: &str,
+        convert: fn(&'a Value) -> Option<T>,
     ) -> Result<T, String> {
-        let value = self.any(at);
-        as_(value).ok_or_else(|| self.fault(&format!("member {member}: {value} is not {want}")))
+        let value = self.value(at);
+        convert(value).ok_or_else(|| self.error(&format!("member {member}: {value} is not {expected}")))
     }
 
-    pub fn text(&self, at: usize, member: &str) -> Result<&str, String> {
-        self.is(at, member, "a text", Value::as_str)
+    pub fn string(&self, at: usize, member: &str) -> Result<&str, String> {
+        self.typed(at, member, "a string", Value::as_str)
     }
 
-    pub fn whole(&self, at: usize, member: &str) -> Result<u64, String> {
-        self.is(at, member, "a whole number from 0", Value::as_u64)
+    pub fn unsigned(&self, at: usize, member: &str) -> Result<u64, String> {
+        self.typed(at, member, "a whole number from 0", Value::as_u64)
     }
 
     pub fn micros(&self, at: usize, member: &str) -> Result<Duration, String> {
-        self.whole(at, member).map(Duration::from_micros)
+        self.unsigned(at, member).map(Duration::from_micros)
     }
 
     fn number(&self, at: usize, member: &str) -> Result<f64, String> {
-        self.is(at, member, "a number", Value::as_f64)
+        self.typed(at, member, "a number", Value::as_f64)
     }
 
-    fn truth(&self, at: usize, member: &str) -> Result<bool, String> {
-        match self.any(at) {
+    fn boolean(&self, at: usize, member: &str) -> Result<bool, String> {
+        match self.value(at) {
             Value::Null => Ok(false),
-            _ => self.is(at, member, "true or false", Value::as_bool),
+            _ => self.typed(at, member, "true or false", Value::as_bool),
         }
     }
 
     fn id(&self, at: usize, member: &str) -> Result<Id, String> {
-        self.text(at, member).map(Id::from)
+        self.string(at, member).map(Id::from)
     }
 
-    /// None when null; else as `read` has it.
-    fn maybe<T>(&self, at: usize, read: impl Fn(&Self) -> Result<T, String>) -> Result<Option<T>, String> {
-        if self.any(at).is_null() {
+    /// None if the member is null or missing; otherwise what `read` returns.
+    fn optional<T>(&self, at: usize, read: impl Fn(&Self) -> Result<T, String>) -> Result<Option<T>, String> {
+        if self.value(at).is_null() {
             Ok(None)
         } else {
             read(self).map(Some)
@@ -79,22 +80,22 @@
     }
 }
 
-/// The numbered lists of engines that later events refer to.
+/// The numbered engine lists that later events refer to.
 #[derive(Default)]
-pub struct Sheets(HashMap<u64, Vec<EngineEntry>>);
+pub struct EngineLists(HashMap<u64, Vec<EngineEntry>>);
 
-impl Sheets {
+impl EngineLists {
     pub fn read(&mut self, line: &Line) -> Result<(), String> {
-        let number = line.whole(1, "rosterId")?;
-        let items = line.is(2, "items", "a list", Value::as_array)?;
+        let number = line.unsigned(1, "rosterId")?;
+        let items = line.typed(2, "items", "a list", Value::as_array)?;
         let entries = items.iter().enumerate().map(|(at, item)| {
             let values = item
                 .as_array()
                 .cloned()
-                .ok_or_else(|| line.fault(&format!("member items: {item} is not a list")))?;
-            let mut named = vec![Value::Null];
-            named.extend(values);
-            entry(&Line { name: format!("{}: entry {at}", line.name), values: named })
+                .ok_or_else(|| line.error(&format!("member items: {item} is not a list")))?;
+            let mut padded = vec![Value::Null];
+            padded.extend(values);
+            entry(&Line { name: format!("{}: entry {at}", line.name), values: padded })
         });
         self.0.insert(number, entries.collect::<Result<_, _>>()?);
         Ok(())
@@ -102,112 +103,113 @@
 }
 
 fn entry(line: &Line) -> Result<EngineEntry, String> {
-    let state = match line.text(5, "state")? {
+    let state = match line.string(5, "state")? {
         "IN" => EngineState::In,
         "LAME" => EngineState::Draining,
         "OUT" => EngineState::Gone,
-        other => return Err(line.fault(&format!("member state: {other} is not known"))),
+        other => return Err(line.error(&format!("member state: {other} is not known"))),
     };
     Ok(EngineEntry {
         id: line.id(1, "node")?,
-        zone: line.maybe(2, |l| l.id(2, "campus"))?.unwrap_or_default(),
-        kind: line.maybe(3, |l| l.id(3, "generationHw"))?.unwrap_or_default(),
-        cell: line.maybe(4, |l| l.whole(4, "stripe"))?.unwrap_or(0),
+        zone: line.optional(2, |l| l.id(2, "campus"))?.unwrap_or_default(),
+        kind: line.optional(3, |l| l.id(3, "generationHw"))?.unwrap_or_default(),
+        cell: line.optional(4, |l| l.unsigned(4, "stripe"))?.unwrap_or(0),
         state,
-        nominal: line.maybe(6, |l| l.number(6, "nominal"))?.unwrap_or(1.0),
-        started: line.maybe(7, |l| l.micros(7, "onlineSinceUs"))?.unwrap_or_default(),
+        nominal: line.optional(6, |l| l.number(6, "nominal"))?.unwrap_or(1.0),
+        started: line.optional(7, |l| l.micros(7, "onlineSinceUs"))?.unwrap_or_default(),
     })
 }
 
-pub fn event(line: &Line, names: &Names, sheets: &Sheets) -> Result<Event, String> {
+/// The event of a line.
+pub fn event(line: &Line, names: &Names, engine_lists: &EngineLists) -> Result<Event, String> {
     Ok(match line.name.as_str() {
         "backendsChanged" => {
-            let kind = match line.text(2, "how")? {
+            let kind = match line.string(2, "how")? {
                 "changes" => ListKind::Changes,
                 "all" => ListKind::All,
                 "remembered" => ListKind::Remembered,
                 "refused" => return Ok(Event::Engines(ListKind::Failed, Vec::new())),
-                other => return Err(line.fault(&format!("member how: {other} is not known"))),
+                other => return Err(line.error(&format!("member how: {other} is not known"))),
             };
-            let number = line.whole(4, "rosterId")?;
-            let unknown = || line.fault(&format!("member rosterId: there is no list {number}"));
-            Event::Engines(kind, sheets.0.get(&number).ok_or_else(unknown)?.clone())
+            let number = line.unsigned(4, "rosterId")?;
+            let unknown = || line.error(&format!("member rosterId: there is no list {number}"));
+            Event::Engines(kind, engine_lists.0.get(&number).ok_or_else(unknown)?.clone())
         }
         "newRequest" => Event::Statement(statement(line, names)?),
         "expired" => Event::ClientGone(line.id(2, "xid")?),
         "reply" => Event::Ended(Ended {
             id: line.id(2, "xid")?,
-            over: line.truth(3, "terminal")?,
+            over: line.boolean(3, "terminal")?,
             engine: line.id(4, "node")?,
-            outcome: outcome(line, line.text(5, "reason")?)?,
+            outcome: outcome(line, line.string(5, "reason")?)?,
             took: line
-                .maybe(6, |l| l.whole(6, "trueCost"))?
+                .optional(6, |l| l.unsigned(6, "trueCost"))?
                 .filter(|c| *c > 0)
                 .map(|cost| (Duration::from_millis(cost / 4096), (cost % 4096) as f64 * 4.0)),
             elapsed: line.micros(7, "lagUs")?,
-            execution: line.whole(8, "go")? as usize,
+            execution: line.unsigned(8, "go")? as usize,
             report: report(line, 9, names)?,
         }),
         "fromPeer" => {
-            let text = line.text(3, "msg")?;
-            let bytes = STANDARD.decode(text).map_err(|e| line.fault(&format!("member msg: {e}")))?;
-            message::read(line.whole(2, "author")? as u32, &bytes)
+            let text = line.string(3, "msg")?;
+            let bytes = STANDARD.decode(text).map_err(|e| line.error(&format!("member msg: {e}")))?;
+            message::read(line.unsigned(2, "author")? as u32, &bytes)
         }
         "signal" => {
-            let x = line.maybe(4, |l| l.number(4, "x"))?.unwrap_or(0.0);
-            let note = match (line.whole(5, "kind")?, x as i64) {
+            let x = line.optional(4, |l| l.number(4, "x"))?.unwrap_or(0.0);
+            let note = match (line.unsigned(5, "kind")?, x as i64) {
                 (1, _) => Note::Progress(x),
                 (2, _) => Note::Spills(x),
                 (3, 2) => Note::WaitsForLoad,
                 (3, _) => Note::WaitsForMemory,
-                (other, _) => return Err(line.fault(&format!("member kind: {other} is not known"))),
+                (other, _) => return Err(line.error(&format!("member kind: {other} is not known"))),
             };
             Event::Noted {
                 id: line.id(2, "xid")?,
-                execution: line.whole(3, "go")? as usize,
+                execution: line.unsigned(3, "go")? as usize,
                 engine: line.id(6, "node")?,
                 note,
             }
         }
-        "alarm" => Event::Timer(line.whole(2, "ctx")?),
+        "alarm" => Event::Timer(line.unsigned(2, "ctx")?),
         "underWay" => Event::Answering {
             id: line.id(2, "xid")?,
             engine: line.id(4, "node")?,
-            execution: line.whole(5, "go")? as usize,
+            execution: line.unsigned(5, "go")? as usize,
         },
-        _ => return Err(line.fault("is no event of the wire")),
+        _ => return Err(line.error("is not an event of the protocol")),
     })
 }
 
 fn report(line: &Line, at: usize, names: &Names) -> Result<Option<Report>, String> {
-    if line.any(at).is_null() {
+    if line.value(at).is_null() {
         return Ok(None);
     }
-    let values = line.is(at, "pressure", "an object", Value::as_object)?;
+    let values = line.typed(at, "pressure", "an object", Value::as_object)?;
     Ok(Some(names.report(|name| values.get(name).and_then(Value::as_f64))))
 }
 
 fn statement(line: &Line, names: &Names) -> Result<NewStatement, String> {
-    let grade = line.text(3, "grade")?;
-    let unknown = || line.fault(&format!("member grade: {grade} is no workload of the settings"));
+    let grade = line.string(3, "grade")?;
+    let unknown = || line.error(&format!("member grade: {grade} is no workload of the settings"));
     let workload = names.workloads.iter().position(|n| n == grade).ok_or_else(unknown)?;
-    let customer = match line.any(4) {
+    let customer = match line.value(4) {
         Value::Null | Value::Number(_) => None,
         _ => {
-            let tenant = line.text(4, "tenant")?;
+            let tenant = line.string(4, "tenant")?;
             names.customers.iter().position(|n| n == tenant)
         }
     };
-    let valid = line.maybe(10, |l| l.whole(10, "options"))?.unwrap_or(0) & 1 != 0;
+    let valid = line.optional(10, |l| l.unsigned(10, "options"))?.unwrap_or(0) & 1 != 0;
     Ok(NewStatement {
         id: line.id(2, "xid")?,
         workload,
         customer,
-        key: line.maybe(5, |l| l.id(5, "target"))?,
+        key: line.optional(5, |l| l.id(5, "target"))?,
         time_left: line.micros(6, "leftUs")?,
-        est_work: line.maybe(7, |l| l.micros(7, "guessUs"))?.filter(|w| valid && !w.is_zero()),
-        est_mem_mb: line.maybe(8, |l| l.number(8, "estMemoryMb"))?.filter(|m| *m > 0.0),
-        table_group: line.maybe(9, |l| l.whole(9, "tables"))?,
+        est_work: line.optional(7, |l| l.micros(7, "guessUs"))?.filter(|w| valid && !w.is_zero()),
+        est_mem_mb: line.optional(8, |l| l.number(8, "estMemoryMb"))?.filter(|m| *m > 0.0),
+        table_group: line.optional(9, |l| l.unsigned(9, "tables"))?,
         kept: true,
     })
 }
@@ -222,19 +224,20 @@
         "econnreset" => Outcome::Reset,
         "ecanceled" => Outcome::Cancelled,
         "skipped" => Outcome::Skipped,
-        other => return Err(line.fault(&format!("member reason: {other} is not known"))),
+        other => return Err(line.error(&format!("member reason: {other} is not known"))),
     })
 }
 
+/// The reply line of an action.
 pub fn action(gateway: &str, action: &Action) -> String {
-    // Zero would mean something else for a time-out.
+    // A time-out of zero has another meaning, hence at least 1.
     let micros = |d: &Duration| d.as_micros() as u64;
     match action {
         Action::Send { id, engine, timeout } => {
             json!(["place", gateway, **id, **engine, micros(timeout).max(1)])
         }
         Action::Terms { id, mem_mb, priority } => json!(["resources", gateway, **id, mem_mb, priority]),
-        // Budgets of a fleet are never told here.
+        // There are no fleet budgets here; `main` leaves these out.
         Action::Takes { .. } => Value::Null,
         Action::Cancel { id, execution } => json!(["cancel", gateway, **id, execution]),
         Action::Reject { id, retry_in } => {
@@ -245,7 +248,7 @@
         Action::Watch => json!(["listen", gateway, true]),
         Action::Tell { to, said } => {
             let to = to.map_or(json!("all"), |peer| json!(peer));
-            json!(["say", gateway, to, STANDARD.encode(said.write())])
+            json!(["say", gateway, to, STANDARD.encode(said.encode())])
         }
     }
     .to_string()
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: odd rounds are borne, bad input ends it with one plain message.
+//! The adapter as a process: it copes with unusual rounds, and exits with one error message on invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -22,36 +22,36 @@
 }
 
 #[test]
-fn odd_rounds_are_borne() {
+fn unusual_rounds_are_handled() {
     let request = r#"["newRequest","gateway-0","aa","q",0,null,300000,null,0,null,0]"#;
     let changed = r#"["backendsChanged","gateway-0","remembered",1,0]"#;
     let (gone, alarm) = (r#"["expired","gateway-0","bb"]"#, r#"["alarm","gateway-0",99]"#);
     let empty = r#"["sheet",0,[]]"#;
-    let out =
+    let output =
         batch(&[START, r#"["destroy","gateway-0"]"#, START, LIST, changed, gone, alarm, request, empty]);
-    let text = String::from_utf8(out.stdout).unwrap();
-    assert!(out.status.success() && out.stderr.is_empty());
-    assert!(text.contains(r#"["place","gateway-0","aa","10.0.0.1:1","#), "{text}");
-    assert!(text.ends_with("[\"finished\"]\n"));
+    let stdout = String::from_utf8(output.stdout).unwrap();
+    assert!(output.status.success() && output.stderr.is_empty());
+    assert!(stdout.contains(r#"["place","gateway-0","aa","10.0.0.1:1","#), "{stdout}");
+    assert!(stdout.ends_with("[\"finished\"]\n"));
 }
 
 #[test]
-fn bad_input_ends_it_with_a_plain_message() {
+fn invalid_input_exits_with_an_error_message() {
     let zero = START.replace(r#""tipAfterUs":1000"#, r#""tipAfterUs":0"#);
     let cases: [(&[&str], &str); 8] = [
         (&["{"], "line 2: is not a JSON array"),
-        (&["[\"alarm\"]"], "line 2: alarm: member gatewayId: null is not a text"),
+        (&["[\"alarm\"]"], "line 2: alarm: member gatewayId: null is not a string"),
         (&[START, r#"["alarm","gateway-0","x"]"#], "line 3: alarm: member ctx: \"x\" is not a whole number"),
         (&[START, r#"["newRequest","gateway-0","aa","other"]"#], "member grade: other is no workload"),
         (&[START, r#"["backendsChanged","gateway-0","all",1,3]"#], "member rosterId: there is no list 3"),
-        (&[START, r#"["surprise","gateway-0"]"#], "surprise: is no event of the wire"),
+        (&[START, r#"["surprise","gateway-0"]"#], "surprise: is not an event of the protocol"),
         (&[r#"["alarm","gateway-9",1]"#], "gateway-9 has not been started"),
-        (&[&zero], "member conf.rules.tipAfterUs: 0 is not a span above 0"),
+        (&[&zero], "member conf.rules.tipAfterUs: 0 is not a duration above 0"),
     ];
     for (lines, message) in cases {
-        let out = batch(lines);
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && out.stdout.is_empty(), "{lines:?}");
-        assert!(said.contains(message) && said.lines().count() == 1, "{said}");
+        let output = batch(lines);
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success() && output.stdout.is_empty(), "{lines:?}");
+        assert!(stderr.contains(message) && stderr.lines().count() == 1, "{stderr}");
     }
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -8,7 +8,7 @@
 use crate::interface::*;
 use crate::state::*;
 use bramblewharf_budgets::Demand;
-use bramblewharf_turns::{mix, signals, subsets, Draw, Reach, Signals, Turn};
+use bramblewharf_turns::{health, mix, subsets, HealthGossip, Participant, RotationSlot, Subset};
 use gate::misplaced;
 pub use gate::Rule;
 use lease::{ListLease, Stale};
@@ -141,8 +141,8 @@
     told_at: Duration,
     usual_pace: Mean,
     /// What gateways tell one another of engines, and which ones this gateway goes to.
-    signals: Signals,
-    reach: Reach,
+    signals: HealthGossip,
+    reach: Subset,
     /// The list: when to ask next (none: answer due, or subscribed), subscribed, when had, whether it failed.
     list_due: Option<Duration>,
     subscribed: bool,
@@ -166,16 +166,16 @@
             let executions = executions_by_importance(terms.importance / top, site.execution_limit);
             Row::new(terms.clone(), executions, terms.slo_time.as_secs_f64() / 2.0)
         });
-        let draw = Draw { own: site.gateway, gateways: site.gateways };
+        let draw = Participant { index: site.gateway, count: site.gateways };
         let crumbs = is_crumbs(&site, f64::from(site.gateways));
-        let terms = signals::Terms::new(draw, &site.zone, site.may_tell && crumbs);
+        let terms = health::Config::new(draw, &site.zone, site.may_tell && crumbs);
         #[rustfmt::skip]
         let mut chooser = Chooser {
             rows: rows.collect(), rng: WyRand::new_seed(seed), last: None, actions: Vec::new(),
             engines: BTreeMap::new(), stmts: BTreeMap::new(), lines: BTreeMap::new(),
             taken: VecDeque::new(), extras: VecDeque::new(), beat_due: now,
             unjudged: false, crumbs, usual_told: Mean(0.0, false), told_at: now, usual_pace: Mean(1.0, false),
-            reach: Reach::start(subsets::Terms::default(), draw), signals: Signals::start(terms, seed),
+            reach: Subset::start(subsets::Config::default(), draw), signals: HealthGossip::start(terms, seed),
             list_due: site.list_is_asked.then_some(now), subscribed: false, list_at: now, list_failed: false,
             lease: ListLease::new(site.drain_grace), unread: Vec::new(), disputed: None,
             room: Headroom::default(), began: now, closes: None, refusal: Refusal::NoEngine, refused: Vec::new(),
@@ -219,15 +219,15 @@
             Event::Timer(BEAT_MARK) => self.beat(now),
             Event::Timer(_) | Event::Nothing => {}
         }
-        let said = self.signals.take_said().into_iter();
+        let said = self.signals.take_outgoing().into_iter();
         self.actions.extend(said.map(|(to, said)| Action::Tell { to: Some(to), said }));
         std::mem::take(&mut self.actions)
     }
     /// What another gateway says: of loads that hold a table group here, the rest where it is weighed.
-    fn told(&mut self, now: Duration, from: u32, said: &Said) {
-        self.signals.heard(now, from, said);
-        for word in &said.words {
-            let Word::Holds { engine, group, loads } = word else { continue };
+    fn told(&mut self, now: Duration, from: u32, said: &GossipMessage) {
+        self.signals.receive(now, from, said);
+        for word in &said.observations {
+            let Observation::Loads { engine, group, loads } = word else { continue };
             if let Some(at) = self.signals.id(*engine).and_then(|id| self.engines.get_mut(id)) {
                 at.hold(now, (*group, from.into()), (u32::from(*loads), now + TOLD_SPAN));
             }
@@ -278,7 +278,7 @@
     }
     /// Engines looked at since the start, for whoever measures.
     pub fn looked(&self) -> u64 {
-        self.reach.looked.get()
+        self.reach.visited.get()
     }
     /// The mechanism: round-robin from one past the last choice, to the first fit with least against it.
     fn choose(&mut self, now: Duration, id: &Id) -> Input {
@@ -295,7 +295,7 @@
             return Input::NotItsTurn;
         }
         let reach = &self.reach;
-        let first = || reach.now().nth(self.site.gateway as usize % reach.width().max(1));
+        let first = || reach.engines().nth(self.site.gateway as usize % reach.width().max(1));
         let Some(start) = self.last.as_ref().or_else(first) else {
             self.refusal = Refusal::NoEngine;
             return Input::NoRoom;
@@ -312,7 +312,7 @@
             forbidden.set(rule.flatten().or(forbidden.get()));
             rule == Some(None)
         };
-        let walk = reach.after(start).filter_map(|to| self.engines.get_key_value(to));
+        let walk = reach.engines_after(start).filter_map(|to| self.engines.get_key_value(to));
         let fit = walk.filter(|(to, e)| may(to, e)).min_by_key(|(_, e)| self.objections(now, stmt, e));
         let fit = fit.map(|(to, _)| to.clone());
         self.refusal = forbidden.get().map_or(Refusal::NoneFits, Refusal::Forbidden);
@@ -347,15 +347,15 @@
     /// one execution a pause, of a kind that may be repeated, the next as soon as that is back well. One that
     /// others call ill gets them from a few gateways at a time, until these call it well.
     fn may_try(&self, now: Duration, engine: &Engine, effect: Effect) -> bool {
-        let ill = self.signals.is_ill(now, engine.mark);
+        let ill = self.signals.is_unhealthy(now, engine.mark);
         if engine.aside.is_none() && !ill {
             return true;
         }
-        let draw = engine.part.draw;
-        let turn = Turn { span: TRIALS.0, many: (u64::from(draw.gateways) / TRIALS.1).max(1) };
+        let draw = engine.part.participant;
+        let turn = RotationSlot { duration: TRIALS.0, concurrent: (u64::from(draw.count) / TRIALS.1).max(1) };
         let due = engine.aside.is_none_or(|(at, _)| now >= at);
-        let may = due && (!ill || draw.has(turn, &engine.entry.id, now));
-        effect != Effect::NonIdempotent && (may || self.signals.is_well(now, engine.mark))
+        let may = due && (!ill || draw.has_slot(turn, &engine.entry.id, now));
+        effect != Effect::NonIdempotent && (may || self.signals.is_reported_healthy(now, engine.mark))
     }
     /// What speaks against an engine that fits: least another location where crossing is priced, most a load
     /// that holds the table group, for a reader that would stand still.
@@ -390,7 +390,7 @@
     /// When half the engines or more look bad, and most of the others do not answer well either, the cause is
     /// taken as common and none is shunned. A lost zone is no common cause while the rest answers well.
     fn trouble_is_common(&self, now: Duration) -> bool {
-        let live = self.reach.now().filter_map(|id| self.engines.get(id));
+        let live = self.reach.engines().filter_map(|id| self.engines.get(id));
         let live = live.filter(|e| e.entry.state == EngineState::In);
         let (all, aside, well) = live.fold((0, 0, 0), |(all, aside, well), e| {
             let bad = e.is_bad(now, &self.signals);
@@ -521,9 +521,9 @@
                 }
             }
             match ended.outcome {
-                Completed => self.signals.saw_well(now, engine.mark),
+                Completed => self.signals.record_success(now, engine.mark),
                 TimedOut | Cancelled if engine.aside.is_none() => {}
-                Refused | TimedOut | Cancelled => self.signals.saw_ill(now, engine.mark),
+                Refused | TimedOut | Cancelled => self.signals.record_failure(now, engine.mark),
                 _ => {}
             }
             engine.judge(now, ended.outcome, pace);
@@ -549,13 +549,16 @@
         let held = engine.held.get(&(group, OURS.0)).map_or(0, |held| held.0).saturating_add_signed(change);
         engine.hold(now, (group, OURS.0), (held, now + OURS.1));
         let (loads, spot, others) =
-            (held.min(255) as u8, engine.part.spot, self.site.gateways.saturating_sub(1));
-        let said = Said { words: vec![Word::Holds { engine: engine.mark, group, loads }], ..Said::default() };
+            (held.min(255) as u8, engine.part.position, self.site.gateways.saturating_sub(1));
+        let said = GossipMessage {
+            observations: vec![Observation::Loads { engine: engine.mark, group, loads }],
+            ..GossipMessage::default()
+        };
         let tell = |to| Action::Tell { to, said: said.clone() };
         if self.site.may_tell && others <= TELL_MOST {
             self.actions.push(tell(None));
         } else if self.site.may_tell {
-            let told = (0..TELL_MOST).filter_map(|_| spot.any(others + 1, &mut self.rng));
+            let told = (0..TELL_MOST).filter_map(|_| spot.random_sharer(others + 1, &mut self.rng));
             self.actions.extend(told.map(|to| tell(Some(to))));
         }
     }
@@ -621,7 +624,7 @@
         }
         for entry in entries {
             let cores = self.site.kinds.iter().find(|k| k.name == entry.kind).and_then(|k| k.cores);
-            let (stratum, part) = (self.stratum(&entry), self.reach.part(&entry.id, 0));
+            let (stratum, part) = (self.stratum(&entry), self.reach.engine_share(&entry.id, 0));
             let new = || Engine::new(entry.clone(), part, now);
             let engine = self.engines.entry(entry.id.clone()).or_insert_with(new);
             (engine.stratum, engine.cores) = (stratum, cores.unwrap_or(CORES_UNTOLD));
@@ -671,17 +674,17 @@
         self.extras.drain(..self.extras.partition_point(|(at, _)| *at + kept < now));
         let Chooser { reach, engines, signals, .. } = self;
         let live = |id: &str| engines.get(id).filter(|e| e.entry.state == EngineState::In);
-        if reach.look(|id| live(id).is_some_and(|e| !e.is_bad(now, signals))) {
+        if reach.adjust(|id| live(id).is_some_and(|e| !e.is_bad(now, signals))) {
             self.divide();
         }
     }
     /// Which engines this gateway goes to, what it has of each, and whether that is less than a statement.
     fn divide(&mut self) {
         let all = self.engines.iter().map(|(id, e)| (id, e.stratum, e.entry.state == EngineState::In));
-        self.reach.set(all);
-        self.engines.iter_mut().for_each(|(id, e)| e.part = self.reach.part(id, e.stratum));
-        self.signals.list(self.engines.iter().map(|(id, e)| (id, e.part.spot)));
-        self.crumbs = is_crumbs(&self.site, f64::from(self.reach.most_sharers()));
+        self.reach.rebuild(all);
+        self.engines.iter_mut().for_each(|(id, e)| e.part = self.reach.engine_share(id, e.stratum));
+        self.signals.set_engines(self.engines.iter().map(|(id, e)| (id, e.part.position)));
+        self.crumbs = is_crumbs(&self.site, f64::from(self.reach.max_sharers()));
     }
     /// Whom all workloads allow alike is of one, by zone where crossing is priced: each has some of each.
     fn stratum(&self, entry: &EngineEntry) -> u64 {
@@ -720,7 +723,7 @@
             if let Some(engine) = self.engines.get_mut(id).filter(|e| e.aside.is_none()) {
                 engine.faults = 1.0;
                 engine.aside = Some((now + PAUSE.0, PAUSE.0 * 2));
-                self.signals.saw_ill(now, engine.mark);
+                self.signals.record_failure(now, engine.mark);
             }
         }
         let called = !found.is_empty() && self.site.may_cancel && !self.trouble_is_common(now);
@@ -746,8 +749,8 @@
         });
         reported || self.pace.0 > PRESSED_PACE || now < self.warm_at
     }
-    fn is_bad(&self, now: Duration, signals: &Signals) -> bool {
-        self.aside.is_some() || signals.is_ill(now, self.mark)
+    fn is_bad(&self, now: Duration, signals: &HealthGossip) -> bool {
+        self.aside.is_some() || signals.is_unhealthy(now, self.mark)
     }
     /// Nothing speaks against it: neither faults nor a pace that shows pressure.
     fn answers_well(&self) -> bool {
--- a/src/choice/gate.rs
+++ b/src/choice/gate.rs
@@ -113,7 +113,9 @@
         let stands = warm * cold.capacity * cold.multiple * COLD_CAUTION;
         let since = now.saturating_sub(to.entry.started);
         let sent = |span| to.cold_sends.iter().filter(|s| s.0 + span >= now).map(|s| s.1).sum::<f64>();
-        let turn = |span, many| to.part.draw.has(Turn { span, many }, &to.entry.id, since);
+        let turn = |duration, concurrent| {
+            to.part.participant.has_slot(RotationSlot { duration, concurrent }, &to.entry.id, since)
+        };
         let (half, many) = (cold.window / 2, (stands * COLD_LIGHT / 2.0 / work) as u64);
         let each = to.part.owners().map_or(1, |owners| (many / owners).max(1)) as f64;
         let room = match (self.crumbs, many > 1) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,7 @@
 //! Types only: what the site states, what a gateway is told, what it answers.
 
 pub use bramblewharf_budgets::usage::{Charges, Headroom};
-pub use bramblewharf_turns::{Said, Word};
+pub use bramblewharf_turns::{GossipMessage, Observation};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -222,7 +222,7 @@
     /// What another gateway says of engines.
     Told {
         from: u32,
-        said: Said,
+        said: GossipMessage,
     },
     /// What is left of this gateway's parts of budgets that are the whole fleet's.
     Room(Headroom),
@@ -267,6 +267,6 @@
     /// To another gateway, or to all: what this one has seen of engines.
     Tell {
         to: Option<u32>,
-        said: Said,
+        said: GossipMessage,
     },
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What a gateway remembers, without any decision: the decisions are in `choice.rs`.
 
 use crate::interface::*;
-use bramblewharf_turns::{Mark, Part};
+use bramblewharf_turns::{EngineHash, EngineShare};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -143,13 +143,13 @@
 pub(crate) struct Engine {
     pub(crate) entry: EngineEntry,
     /// What this gateway has of it.
-    pub(crate) part: Part,
+    pub(crate) part: EngineShare,
     /// Whom the workloads allow alike is of one.
     pub(crate) stratum: u64,
     pub(crate) cores: f64,
     pub(crate) load: f64,
     /// As gateways speak of it.
-    pub(crate) mark: Mark,
+    pub(crate) mark: EngineHash,
     /// When the engine last told how full it is, in threads a core; what we have sent there since.
     pub(crate) told: Option<(Duration, f64)>,
     pub(crate) since: f64,
@@ -175,8 +175,8 @@
 }
 
 impl Engine {
-    pub(crate) fn new(entry: EngineEntry, part: Part, now: Duration) -> Engine {
-        let mark = Mark::of(&entry.id);
+    pub(crate) fn new(entry: EngineEntry, part: EngineShare, now: Duration) -> Engine {
+        let mark = EngineHash::of(&entry.id);
         Engine {
             entry,
             part,
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -178,8 +178,8 @@
 fn an_engine_that_others_call_ill_is_tried_by_few() {
     let mut terms = site(vec![workload(Idempotent)]);
     (terms.gateways, terms.may_tell) = (300, true);
-    let words = vec![Word::Ill { engine: bramblewharf_turns::Mark::of("e1"), age: ms(0) }];
-    let zones = [1, 2, 3].map(|zone| Said { zone, words: words.clone() });
+    let words = vec![Observation::Unhealthy { engine: bramblewharf_turns::EngineHash::of("e1"), age: ms(0) }];
+    let zones = [1, 2, 3].map(|zone| GossipMessage { zone, observations: words.clone() });
     let tried = |witnesses: usize| {
         let mut tried = 0;
         for gateway in 0..300 {
