--- a/crates/fleet/src/leader.rs
+++ b/crates/fleet/src/leader.rs
@@ -9,7 +9,7 @@
 use crate::voter::Ballot;
 use crate::wire::{GrantReply, GrantRequest, Message};
 use crate::{FleetConfig, Incarnation, InjectedBug};
-use bramblewharf_budgets::{parts, Asks, Budget, Credits, Patience};
+use bramblewharf_budgets::{allocate, ActiveClock, Budget, Credits, ShareRequest};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -94,7 +94,7 @@
     budgets: Vec<Budget>,
     table_digest: u64,
     rng: WyRand,
-    clock: Patience,
+    clock: ActiveClock,
     started: Duration,
     members: BTreeMap<u32, MemberSlot>,
     /// Grants of earlier processes, until they cannot be in use any more.
@@ -126,8 +126,8 @@
         seed: u64,
         now: Duration,
     ) -> Leader {
-        let mut clock = Patience::default();
-        let _ = clock.look(now, false);
+        let mut clock = ActiveClock::default();
+        let _ = clock.advance(now, false);
         Leader {
             term,
             config,
@@ -171,7 +171,7 @@
     /// Expires what has to end by now. Returns false if the clock went back: the accounting is no longer
     /// valid.
     pub fn tick(&mut self, now: Duration) -> bool {
-        if self.clock.look(now, self.config.has_bug(InjectedBug::CountsSuspendedTime)).is_err() {
+        if self.clock.advance(now, self.config.has_bug(InjectedBug::CountsSuspendedTime)).is_err() {
             return false;
         }
         let now = self.clock.now();
@@ -429,16 +429,16 @@
             entries.filter(|(_, entry)| !entry.left && now < entry.last_heard + config.lease).collect();
         self.ranks = active.iter().map(|(member_id, _)| *member_id).collect();
         for (at, budget) in self.budgets.iter().enumerate() {
-            let demands = active.iter().map(|(_, entry)| Asks {
+            let demands = active.iter().map(|(_, entry)| ShareRequest {
                 need: entry.needs[at],
                 importance: 1,
-                has: entry.granted[at],
+                held: entry.granted[at],
             });
-            let demands: Vec<Asks> = demands.collect();
+            let demands: Vec<ShareRequest> = demands.collect();
             let credits = &self.credits[at];
             let mut owed: Credits =
                 active.iter().map(|(member_id, _)| credits.get(member_id).copied().unwrap_or(0)).collect();
-            let parts = parts(budget.pool(config.max_members), budget.quantum, &demands, &mut owed);
+            let parts = allocate(budget.pool(config.max_members), budget.quantum, &demands, &mut owed);
             let members = || active.iter().map(|(member_id, _)| *member_id);
             if rotates {
                 self.credits[at] = members().zip(owed).collect();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -23,7 +23,7 @@
 pub use node::{Effect, Node, Status};
 pub use wire::{Envelope, Key, Message};
 
-use bramblewharf_budgets::UNSEEN;
+use bramblewharf_budgets::MAX_GAP;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -83,7 +83,7 @@
     /// clock jump.
     pub fn with_clock_drift(&self, span: Duration) -> Duration {
         let drift = self.drift_percent.min(50);
-        span * (100 + drift) / (100 - drift) + UNSEEN
+        span * (100 + drift) / (100 - drift) + MAX_GAP
     }
 
     /// How long a send decided under a valid grant may take to reach its engine.
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -8,8 +8,8 @@
 use crate::voter::{LeaderLease, Outbound, Voter};
 use crate::wire::{Envelope, Message, Party};
 use crate::{FleetConfig, Incarnation, InjectedBug};
-use bramblewharf_budgets::usage::{Figures, Lingering, Took};
-use bramblewharf_budgets::{Budget, Claim, Room, Usage};
+use bramblewharf_budgets::usage::{BudgetStatus, Charges, OrphanId};
+use bramblewharf_budgets::{Budget, Demand, Headroom, Usage};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     pub has_grant: bool,
     pub members: Option<u32>,
     pub grant_holder: grant_holder::Counts,
-    pub budgets: Vec<Figures>,
+    pub budgets: Vec<BudgetStatus>,
     pub voter: Option<VoterStatus>,
     pub leader: Option<LeaderStatus>,
     pub ignored: u64,
@@ -122,7 +122,7 @@
         start: Start,
         predecessor: Predecessor,
         now: Duration,
-    ) -> (Node, Vec<(Outstanding, Lingering)>) {
+    ) -> (Node, Vec<(Outstanding, OrphanId)>) {
         let config = start.config.clone();
         let assumes_ended = config.has_bug(InjectedBug::AssumesPredecessorEnded)
             || config.has_bug(InjectedBug::FreesKilledProcessGrant);
@@ -163,7 +163,7 @@
 
     /// Every engine that an earlier process may have sent to has read what it sent, or is gone.
     pub fn engines_confirmed(&mut self, now: Duration) {
-        self.usage.floors_after(now, self.start.config.max_orphan_time());
+        self.usage.allow_floors_after(now, self.start.config.max_orphan_time());
     }
 
     /// Whether all executions that may be in flight under this member id are counted as in use here.
@@ -195,17 +195,17 @@
             self.send_all(outbound, &mut effects);
         }
         self.update_leader(now);
-        self.usage.look(now);
+        self.usage.tick(now);
         if self.usage.has_floors() {
             self.succession.mark_complete();
         }
         if self.grant_holder.observe_clock(now) {
-            self.usage.drop_leave(now);
+            self.usage.drop_grants(now);
             effects.push(Effect::HeadroomChanged);
         }
         let usage = &mut self.usage;
         if let Some((voter, number, message)) =
-            self.grant_holder.tick(now, || (usage.holds(now), usage.needs(now)))
+            self.grant_holder.tick(now, || (usage.held(now), usage.needs(now)))
         {
             self.send_request(now, voter, number, message, &mut effects);
         }
@@ -310,7 +310,7 @@
         if self.grant_holder.handle_reply(now, voter, message) {
             if let Some(grant) = self.grant_holder.grant(now) {
                 let (amounts, until) = (grant.amounts.clone(), grant.until);
-                self.usage.lease(now, &amounts, until);
+                self.usage.set_grants(now, &amounts, until);
                 effects.push(Effect::HeadroomChanged);
                 self.report_succession(now, voter, effects);
             }
@@ -343,7 +343,7 @@
         self.succession.acknowledge();
         if self.succession.check_predecessors(predecessors) {
             // Everything in flight is counted, so the rest of the floors may be used.
-            self.usage.floors_after(now, Duration::ZERO);
+            self.usage.allow_floors_after(now, Duration::ZERO);
             effects.push(Effect::HeadroomChanged);
             let voter = self.grant_holder.voter();
             self.report_succession(now, voter, effects);
@@ -396,8 +396,8 @@
     }
 
     /// Free capacity of this gateway's parts of the budgets.
-    pub fn headroom(&mut self, now: Duration) -> Room {
-        self.usage.room(now)
+    pub fn headroom(&mut self, now: Duration) -> Headroom {
+        self.usage.headroom(now)
     }
 
     /// When the free capacity changes without an event.
@@ -406,8 +406,8 @@
     }
 
     /// An execution starts with this demand.
-    pub fn execution_started(&mut self, now: Duration, took: &Took) {
-        self.usage.took(now, took);
+    pub fn execution_started(&mut self, now: Duration, took: &Charges) {
+        self.usage.record_charges(now, took);
     }
 
     /// Latest time to send what is decided now, even if the process is suspended in between: others count
@@ -428,13 +428,13 @@
 
     /// An execution has ended here. What may remain of it stays counted and can be settled by the returned
     /// handle.
-    pub fn execution_ended(&mut self, now: Duration, took: Took, remains: Remains) -> Option<Lingering> {
+    pub fn execution_ended(&mut self, now: Duration, took: Charges, remains: Remains) -> Option<OrphanId> {
         let retention = self.retention(remains);
-        self.usage.ended(now, took, retention)
+        self.usage.end(now, took, retention)
     }
 
     /// More is known of what remains of an execution. Returns its new handle while it stays counted.
-    pub fn settle(&mut self, now: Duration, name: Lingering, remains: Remains) -> Option<Lingering> {
+    pub fn settle(&mut self, now: Duration, name: OrphanId, remains: Remains) -> Option<OrphanId> {
         let retention = self.retention(remains);
         self.usage.settle(now, name, retention)
     }
@@ -454,18 +454,18 @@
     }
 
     /// Whether an execution that has ended here is still counted.
-    pub fn lingers(&self, name: Lingering) -> bool {
-        self.usage.lingers(name)
+    pub fn lingers(&self, name: OrphanId) -> bool {
+        self.usage.counts_orphan(name)
     }
 
     /// How many executions that have ended here are still counted.
     pub fn lingering(&self) -> usize {
-        self.usage.lingering()
+        self.usage.orphans()
     }
 
     /// A statement was refused for want of a budget: requests a larger grant soon.
-    pub fn statement_refused(&mut self, now: Duration, claim: &Claim) {
-        if self.usage.refused(now, claim) {
+    pub fn statement_refused(&mut self, now: Duration, demand: &Demand) {
+        if self.usage.record_refusal(now, demand) {
             self.grant_holder.request_soon(now);
         }
     }
@@ -474,8 +474,8 @@
     /// repeatedly.
     pub fn leave(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.usage.drop_leave(now);
-        let holds = self.usage.holds(now);
+        self.usage.drop_grants(now);
+        let holds = self.usage.held(now);
         if let Some((voter, number, message)) = self.grant_holder.depart(holds) {
             self.send_request(now, voter, number, message, &mut effects);
         }
@@ -488,8 +488,8 @@
     }
 
     /// Floors, grants and use by budget.
-    pub fn figures(&mut self, now: Duration) -> Vec<Figures> {
-        self.usage.figures(now)
+    pub fn figures(&mut self, now: Duration) -> Vec<BudgetStatus> {
+        self.usage.status(now)
     }
 
     /// The leader lease, while this gateway has it.
@@ -537,7 +537,7 @@
                     totals: leader.totals(),
                     counts: leader.counts,
                 }),
-            budgets: self.usage.figures(now),
+            budgets: self.usage.status(now),
             ignored: self.ignored,
         }
     }
--- a/crates/fleet/src/outstanding.rs
+++ b/crates/fleet/src/outstanding.rs
@@ -5,7 +5,7 @@
 //! slots have checksums, and a single corrupted one invalidates the whole file. Nothing here does I/O.
 
 use crate::Incarnation;
-use bramblewharf_budgets::usage::Took;
+use bramblewharf_budgets::usage::Charges;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
     pub execution: usize,
     pub engine: SocketAddr,
     /// Its demand on the fleet's budgets.
-    pub demand: Took,
+    pub demand: Charges,
 }
 
 /// The process that a file belongs to.
--- a/crates/fleet/src/voter.rs
+++ b/crates/fleet/src/voter.rs
@@ -7,7 +7,7 @@
 
 use crate::wire::Message;
 use crate::{FleetConfig, Incarnation, InjectedBug};
-use bramblewharf_budgets::Patience;
+use bramblewharf_budgets::ActiveClock;
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -56,7 +56,7 @@
     incarnation: Incarnation,
     config: FleetConfig,
     rng: WyRand,
-    clock: Patience,
+    clock: ActiveClock,
     /// By the drift-bounded clock: before this it may have accepted a lease that it doesn't know of, and
     /// doesn't vote.
     votes_from: Duration,
@@ -79,7 +79,7 @@
             id,
             incarnation,
             rng: WyRand::new_seed(seed),
-            clock: Patience::default(),
+            clock: ActiveClock::default(),
             votes_from: if config.has_bug(InjectedBug::VotesAtStart) {
                 Duration::ZERO
             } else {
@@ -94,7 +94,7 @@
             resigned: false,
             proposals: 0,
         };
-        let _ = voter.clock.look(now, false);
+        let _ = voter.clock.advance(now, false);
         voter
     }
 
@@ -156,7 +156,7 @@
     }
 
     fn observe_clock(&mut self, now: Duration) {
-        if self.clock.look(now, self.config.has_bug(InjectedBug::CountsSuspendedTime)).is_err() {
+        if self.clock.advance(now, self.config.has_bug(InjectedBug::CountsSuspendedTime)).is_err() {
             // The clock went back, so the end of its own lease is unknown. Leases that it accepted only last
             // longer.
             self.leader_lease = None;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -126,7 +126,7 @@
     pub table_digest: u64,
     /// Uptime of this process in ms. Once it exceeds the life of any grant, no predecessor can hold one.
     pub uptime_ms: u64,
-    /// By budget, in grains: what is held and what is needed beyond the floor.
+    /// By budget, in milliunits: what is held and what is needed beyond the floor.
     pub holds: Vec<u64>,
     pub needs: Vec<u64>,
 }
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -1,6 +1,6 @@
 //! When the leader frees what a killed process had been granted.
 
-use bramblewharf_budgets::{Budget, Measure, Scope, GRAIN};
+use bramblewharf_budgets::{Budget, Measure, Scope, UNIT};
 use bramblewharf_fleet::voter::Ballot;
 use bramblewharf_fleet::wire::{GrantRequest, Message};
 use bramblewharf_fleet::{FleetConfig, Incarnation, Leader};
@@ -8,7 +8,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 const TABLE_DIGEST: u64 = 1;
-const POOL: u64 = 8 * GRAIN;
+const POOL: u64 = 8 * UNIT;
 
 fn config() -> FleetConfig {
     FleetConfig {
@@ -38,7 +38,7 @@
             measure: Measure::StatementsAtOnce,
             whole: POOL,
             floor_percent: 0,
-            quantum: GRAIN,
+            quantum: UNIT,
             burst: Duration::ZERO,
         };
         let ballot = Ballot { round: 1, voter: 0, incarnation: Incarnation(9) };
@@ -112,10 +112,10 @@
         matches!(predecessors, Some(Message::Predecessors { predecessors, .. }) if predecessors == [Incarnation(1)])
     );
     assert_eq!(fixture.held_by_orphans(), granted, "the successor doesn't know yet");
-    fixture.take_over(2, second, Some(2 * GRAIN));
-    assert_eq!(fixture.held_by_orphans(), 2 * GRAIN);
+    fixture.take_over(2, second, Some(2 * UNIT));
+    assert_eq!(fixture.held_by_orphans(), 2 * UNIT);
     fixture.take_over(2, second, Some(granted));
-    assert_eq!(fixture.held_by_orphans(), 2 * GRAIN, "a later report must not raise it");
+    assert_eq!(fixture.held_by_orphans(), 2 * UNIT, "a later report must not raise it");
     fixture.take_over(2, second, Some(0));
     assert_eq!(fixture.held_by_orphans(), 0);
 }
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -3,7 +3,7 @@
 
 use crate::operators::parse;
 use bramblewharf::interface::{Effect as Repeats, Site};
-use bramblewharf_budgets::{Claim, Permits};
+use bramblewharf_budgets::{AdmissionCheck, Demand};
 use bramblewharf_policy::{Check, ExecutionRequest, Limits, Permit, Revision, Rules, StoredState};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -151,13 +151,17 @@
     pub names: Arc<Names>,
 }
 
-impl Permits for Permitted {
-    fn permits(&self, now: Duration, claim: &Claim) -> bool {
+impl AdmissionCheck for Permitted {
+    fn permits(&self, now: Duration, demand: &Demand) -> bool {
         let names = &*self.names;
-        let workload = names.workloads.get(claim.workload).map_or("", String::as_str);
-        let customer = claim.customer.and_then(|at| names.customers.get(at)).map(String::as_str);
-        let request =
-            ExecutionRequest { workload, customer, kind: claim.kind, prior_executions: claim.before };
+        let workload = names.workloads.get(demand.workload).map_or("", String::as_str);
+        let customer = demand.customer.and_then(|at| names.customers.get(at)).map(String::as_str);
+        let request = ExecutionRequest {
+            workload,
+            customer,
+            kind: demand.kind,
+            prior_executions: demand.previous_executions,
+        };
         self.permit.permits(now, &request)
     }
 }
--- a/crates/gateway/tests/reducer.rs
+++ b/crates/gateway/tests/reducer.rs
@@ -1,7 +1,7 @@
 //! The reducer alone: inputs and times go in, effects come out.
 
 use bramblewharf::interface::{EngineEntry, EngineState, Id, ListKind, NewStatement, Note, Outcome};
-use bramblewharf_budgets::{Budget, Measure, Scope, GRAIN};
+use bramblewharf_budgets::{Budget, Measure, Scope, UNIT};
 use bramblewharf_fleet::outstanding::{Outstanding, ProcessRun, Record, Slots};
 use bramblewharf_fleet::predecessor::Predecessor;
 use bramblewharf_fleet::{node, FleetConfig, Incarnation};
@@ -419,7 +419,7 @@
     };
     let (burst, name) = (ms(1000), "b".to_string());
     let budget =
-        Budget { name, scope, measure, whole: whole * GRAIN, floor_percent: 100, quantum: GRAIN, burst };
+        Budget { name, scope, measure, whole: whole * UNIT, floor_percent: 100, quantum: UNIT, burst };
     node::Start {
         member_id: 0,
         voter: None,
@@ -652,7 +652,7 @@
         table_digest: 1,
         boot_id: 0,
     };
-    let demand = vec![(0, GRAIN)];
+    let demand = vec![(0, UNIT)];
     let outstanding = Outstanding { id: id.into(), execution: 0, engine: listed("a").address, demand };
     Predecessor::Recorded(Record { run, outstanding: vec![outstanding] })
 }
--- a/crates/policy/src/coordinator.rs
+++ b/crates/policy/src/coordinator.rs
@@ -11,7 +11,7 @@
 use crate::revision::Digest;
 use crate::revision_cache::RevisionCache;
 use crate::{InjectedBug, Phase, Terms};
-use bramblewharf_budgets::Patience;
+use bramblewharf_budgets::ActiveClock;
 use bramblewharf_fleet::node::Recipient;
 use bramblewharf_fleet::voter::Ballot;
 use std::collections::{BTreeMap, BTreeSet};
@@ -67,7 +67,7 @@
     term: Ballot,
     own_voter: u8,
     terms: Terms,
-    clock: Patience,
+    clock: ActiveClock,
     began: Duration,
     entry: Entry,
     number: u64,
@@ -82,8 +82,8 @@
 impl Coordinator {
     /// Starts by reading what is in force from the voters.
     pub fn start(term: Ballot, own_voter: u8, terms: Terms, now: Duration) -> Coordinator {
-        let mut clock = Patience::default();
-        let _ = clock.look(now, false);
+        let mut clock = ActiveClock::default();
+        let _ = clock.advance(now, false);
         let change_deadline = terms.max_grant_lifetime() * 4;
         Coordinator {
             leadership_term: term,
@@ -139,7 +139,7 @@
         revisions: &mut RevisionCache<Recipient>,
         first: Digest,
     ) -> Option<Vec<(u8, PolicyMessage)>> {
-        self.clock.look(now, false).ok()?;
+        self.clock.advance(now, false).ok()?;
         let now = self.clock.now();
         let mut messages = Vec::new();
         self.write_latest_entry(revisions, first);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,8 @@
 //! Types that the scheduler and its caller exchange: the site's configuration, incoming events and outgoing
 //! actions.
 
-pub use bramblewharf_budgets::usage::{Room, Took};
-pub use bramblewharf_turns::{Said, Word};
+pub use bramblewharf_budgets::usage::{Charges, Headroom};
+pub use bramblewharf_turns::{GossipMessage, Observation};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -323,9 +323,9 @@
     /// An engine reported on an execution that still runs.
     ExecutionNoted { id: Id, execution: usize, engine: Id, note: Note },
     /// Message of another gateway about engines.
-    PeerMessage { from: u32, message: Said },
+    PeerMessage { from: u32, message: GossipMessage },
     /// What is left of this gateway's parts of the fleet's budgets.
-    BudgetHeadroom(Room),
+    BudgetHeadroom(Headroom),
     /// A message that cannot be parsed; it is ignored.
     Unreadable,
     /// A timer that an action started has expired.
@@ -340,7 +340,7 @@
     /// Memory and priority to ask for with the send that follows.
     Resources { id: Id, mem_mb: f64, priority: u8 },
     /// What the send that follows takes of the fleet's budgets; only where there are any.
-    BudgetUsage { id: Id, usage: Took },
+    BudgetUsage { id: Id, usage: Charges },
     /// Cancel an execution in flight.
     Cancel { id: Id, execution: usize },
     /// Answer the client that its statement may safely be sent again.
@@ -352,5 +352,5 @@
     /// Request the list of engines.
     RequestList,
     /// Send a message about engines to one gateway, or to all.
-    Gossip { to: Option<u32>, message: Said },
+    Gossip { to: Option<u32>, message: GossipMessage },
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -8,8 +8,8 @@
 
 use crate::interface::*;
 use crate::state::*;
-use bramblewharf_budgets::Claim;
-use bramblewharf_turns::{mix, signals, subsets, Draw, Reach, Signals, Turn};
+use bramblewharf_budgets::Demand;
+use bramblewharf_turns::{health, mix, subsets, HealthGossip, Participant, RotationSlot, Subset};
 use list_lease::{ListLease, Stale};
 use nanorand::{Rng, WyRand};
 use send_guard::misplaced;
@@ -195,9 +195,9 @@
     /// Mean slowdown over all engines.
     mean_slowdown: Mean,
     /// What gateways report to one another of engines.
-    signals: Signals,
+    signals: HealthGossip,
     /// Which engines this gateway uses.
-    subset: Reach,
+    subset: Subset,
     /// When to request the list next; `None` while an answer is due or the list is subscribed.
     list_due: Option<Duration>,
     list_subscribed: bool,
@@ -210,7 +210,7 @@
     /// While the last list received may be older than the one in force: the engines that it has up.
     conflicting_list: Option<BTreeSet<Id>>,
     /// What is left of this gateway's parts of the fleet's budgets.
-    budget_headroom: Room,
+    budget_headroom: Headroom,
     /// Actions of the event at hand.
     actions: Vec<Action>,
     /// Why the statement at hand has no engine.
@@ -227,19 +227,19 @@
             let max_executions = executions_by_importance(config.importance / top, site.max_executions);
             WorkloadStats::new(config.clone(), max_executions, config.slo_time.as_secs_f64() / 2.0)
         });
-        let draw = Draw { own: site.gateway, gateways: site.gateways };
+        let draw = Participant { index: site.gateway, count: site.gateways };
         let fractional_slices = slices_are_fractional(&site, f64::from(site.gateways));
-        let terms = signals::Terms::new(draw, &site.zone, site.can_gossip && fractional_slices);
+        let terms = health::Config::new(draw, &site.zone, site.can_gossip && fractional_slices);
         #[rustfmt::skip]
         let mut scheduler = Scheduler {
             workload_stats: workload_stats.collect(), rng: WyRand::new_seed(seed), last_engine: None, actions: Vec::new(),
             engines: BTreeMap::new(), statements: BTreeMap::new(), ordering_queues: BTreeMap::new(),
             accepted: VecDeque::new(), retries: VecDeque::new(), tick_due: now,
             skipped_judging: false, fractional_slices, mean_reported_load: Mean(0.0, false), reported_at: now, mean_slowdown: Mean(1.0, false),
-            subset: Reach::start(subsets::Terms::default(), draw), signals: Signals::start(terms, seed),
+            subset: Subset::start(subsets::Config::default(), draw), signals: HealthGossip::start(terms, seed),
             list_due: site.list_is_polled.then_some(now), list_subscribed: false, list_updated_at: now, list_failed: false,
             list_lease: ListLease::new(site.drain_grace), awaiting_list: Vec::new(), conflicting_list: None,
-            budget_headroom: Room::default(), started_at: now, closes_at: None, refusal: Refusal::NoEngine, refusals: Vec::new(),
+            budget_headroom: Headroom::default(), started_at: now, closes_at: None, refusal: Refusal::NoEngine, refusals: Vec::new(),
             site,
         };
         scheduler.tick(now);
@@ -287,16 +287,16 @@
             Event::Timer(TICK_MARK) => self.tick(now),
             Event::Timer(_) | Event::Unreadable => {}
         }
-        let messages = self.signals.take_said().into_iter();
+        let messages = self.signals.take_outgoing().into_iter();
         self.actions.extend(messages.map(|(to, message)| Action::Gossip { to: Some(to), message }));
         std::mem::take(&mut self.actions)
     }
 
     /// Records the loads that another gateway reports; its other reports are weighed by `signals`.
-    fn peer_message(&mut self, now: Duration, from: u32, message: &Said) {
-        self.signals.heard(now, from, message);
-        for word in &message.words {
-            let Word::Holds { engine, group, loads } = word else { continue };
+    fn peer_message(&mut self, now: Duration, from: u32, message: &GossipMessage) {
+        self.signals.receive(now, from, message);
+        for word in &message.observations {
+            let Observation::Loads { engine, group, loads } = word else { continue };
             if let Some(at) = self.signals.id(*engine).and_then(|id| self.engines.get_mut(id)) {
                 at.record_loads(now, (*group, from.into()), (u32::from(*loads), now + PEER_LOAD_TTL));
             }
@@ -353,7 +353,7 @@
 
     /// Number of engines that were examined since the start.
     pub fn engines_examined(&self) -> u64 {
-        self.subset.looked.get()
+        self.subset.visited.get()
     }
 
     /// Selects an engine by round robin, starting after the last one used: of the engines that fit, the first
@@ -374,7 +374,7 @@
             return Input::Blocked;
         }
         let subset = &self.subset;
-        let first = || subset.now().nth(self.site.gateway as usize % subset.width().max(1));
+        let first = || subset.engines().nth(self.site.gateway as usize % subset.width().max(1));
         let Some(start) = self.last_engine.as_ref().or_else(first) else {
             self.refusal = Refusal::NoEngine;
             return Input::NoEngine;
@@ -391,7 +391,7 @@
             forbidden.set(rule.flatten().or(forbidden.get()));
             rule == Some(None)
         };
-        let candidates = subset.after(start).filter_map(|to| self.engines.get_key_value(to));
+        let candidates = subset.engines_after(start).filter_map(|to| self.engines.get_key_value(to));
         let fit =
             candidates.filter(|(to, e)| may(to, e)).min_by_key(|(_, e)| self.penalty(now, statement, e));
         let fit = fit.map(|(to, _)| to.clone());
@@ -443,16 +443,18 @@
     /// the next at once. An engine that other gateways report as unhealthy is probed by a few gateways at a
     /// time, until these report it healthy.
     fn may_use(&self, now: Duration, engine: &Engine, effect: Effect) -> bool {
-        let unhealthy = self.signals.is_ill(now, engine.mark);
+        let unhealthy = self.signals.is_unhealthy(now, engine.mark);
         if engine.ejected.is_none() && !unhealthy {
             return true;
         }
-        let draw = engine.part.draw;
-        let slot =
-            Turn { span: PROBE_ROTATION.0, many: (u64::from(draw.gateways) / PROBE_ROTATION.1).max(1) };
+        let draw = engine.part.participant;
+        let slot = RotationSlot {
+            duration: PROBE_ROTATION.0,
+            concurrent: (u64::from(draw.count) / PROBE_ROTATION.1).max(1),
+        };
         let due = engine.ejected.is_none_or(|(at, _)| now >= at);
-        let may = due && (!unhealthy || draw.has(slot, &engine.entry.id, now));
-        effect != Effect::NonIdempotent && (may || self.signals.is_well(now, engine.mark))
+        let may = due && (!unhealthy || draw.has_slot(slot, &engine.entry.id, now));
+        effect != Effect::NonIdempotent && (may || self.signals.is_reported_healthy(now, engine.mark))
     }
 
     /// Penalty of an engine that fits. From the lowest weight to the highest: another zone where crossing is
@@ -483,7 +485,7 @@
     /// gateways that share the engine at most an equal one.
     fn share(&self, now: Duration, engine: &Engine) -> f64 {
         let (all, sharers) = (f64::from(self.site.gateways.max(1)), engine.part.sharers);
-        let share = self.budget_headroom.share(now).unwrap_or(1.0 / all) * (all / sharers);
+        let share = self.budget_headroom.engine_share(now).unwrap_or(1.0 / all) * (all / sharers);
         share.min(if sharers < all { 1.0 / sharers } else { 1.0 })
     }
 
@@ -499,7 +501,7 @@
     /// the cause is assumed to be common and no engine is avoided. A lost zone is no common cause while the
     /// other engines are responsive.
     fn failure_is_widespread(&self, now: Duration) -> bool {
-        let live = self.subset.now().filter_map(|id| self.engines.get(id));
+        let live = self.subset.engines().filter_map(|id| self.engines.get(id));
         let live = live.filter(|e| e.entry.state == EngineState::In);
         let (all, unhealthy, responsive) = live.fold((0, 0, 0), |(all, unhealthy, responsive), e| {
             let bad = e.is_unhealthy(now, &self.signals);
@@ -530,7 +532,7 @@
             (stats.work.0, statement.request.table_group.filter(|_| stats.config.holds_group));
         if let Some(to) = self.engines.get(&engine).filter(|_| !self.budget_headroom.is_off()) {
             let demand = self.demand(statement, to);
-            let usage = self.budget_headroom.take(&demand);
+            let usage = self.budget_headroom.charge(&demand);
             self.actions.push(Action::BudgetUsage { id: id.clone(), usage });
         }
         let Some(to) = self.engines.get_mut(&engine) else { return Input::NoEngine };
@@ -661,9 +663,9 @@
                 }
             }
             match end.outcome {
-                Completed => self.signals.saw_well(now, engine.mark),
+                Completed => self.signals.record_success(now, engine.mark),
                 TimedOut | Cancelled if engine.ejected.is_none() => {}
-                Refused | TimedOut | Cancelled => self.signals.saw_ill(now, engine.mark),
+                Refused | TimedOut | Cancelled => self.signals.record_failure(now, engine.mark),
                 _ => {}
             }
             engine.record_outcome(now, end.outcome, slowdown);
@@ -698,14 +700,17 @@
             .saturating_add_signed(change);
         engine.record_loads(now, (group, OWN_SOURCE.0), (count, now + OWN_SOURCE.1));
         let (loads, spot, others) =
-            (count.min(255) as u8, engine.part.spot, self.site.gateways.saturating_sub(1));
-        let message =
-            Said { words: vec![Word::Holds { engine: engine.mark, group, loads }], ..Said::default() };
+            (count.min(255) as u8, engine.part.position, self.site.gateways.saturating_sub(1));
+        let message = GossipMessage {
+            observations: vec![Observation::Loads { engine: engine.mark, group, loads }],
+            ..GossipMessage::default()
+        };
         let gossip = |to| Action::Gossip { to, message: message.clone() };
         if self.site.can_gossip && others <= MAX_LOAD_RECIPIENTS {
             self.actions.push(gossip(None));
         } else if self.site.can_gossip {
-            let recipients = (0..MAX_LOAD_RECIPIENTS).filter_map(|_| spot.any(others + 1, &mut self.rng));
+            let recipients =
+                (0..MAX_LOAD_RECIPIENTS).filter_map(|_| spot.random_sharer(others + 1, &mut self.rng));
             self.actions.extend(recipients.map(|to| gossip(Some(to))));
         }
     }
@@ -785,7 +790,7 @@
         }
         for entry in entries {
             let cores = self.site.kinds.iter().find(|k| k.name == entry.kind).and_then(|k| k.cores);
-            let (stratum, part) = (self.stratum(&entry), self.subset.part(&entry.id, 0));
+            let (stratum, part) = (self.stratum(&entry), self.subset.engine_share(&entry.id, 0));
             let new = || Engine::new(entry.clone(), part, now);
             let engine = self.engines.entry(entry.id.clone()).or_insert_with(new);
             (engine.stratum, engine.cores) = (stratum, cores.unwrap_or(DEFAULT_CORES));
@@ -846,7 +851,7 @@
         self.retries.drain(..self.retries.partition_point(|(at, _)| *at + retention < now));
         let Scheduler { subset, engines, signals, .. } = self;
         let live = |id: &str| engines.get(id).filter(|e| e.entry.state == EngineState::In);
-        if subset.look(|id| live(id).is_some_and(|e| !e.is_unhealthy(now, signals))) {
+        if subset.adjust(|id| live(id).is_some_and(|e| !e.is_unhealthy(now, signals))) {
             self.update_subset();
         }
     }
@@ -854,10 +859,10 @@
     /// Recomputes which engines this gateway uses, its part of each, and whether slices are fractional.
     fn update_subset(&mut self) {
         let all = self.engines.iter().map(|(id, e)| (id, e.stratum, e.entry.state == EngineState::In));
-        self.subset.set(all);
-        self.engines.iter_mut().for_each(|(id, e)| e.part = self.subset.part(id, e.stratum));
-        self.signals.list(self.engines.iter().map(|(id, e)| (id, e.part.spot)));
-        self.fractional_slices = slices_are_fractional(&self.site, f64::from(self.subset.most_sharers()));
+        self.subset.rebuild(all);
+        self.engines.iter_mut().for_each(|(id, e)| e.part = self.subset.engine_share(id, e.stratum));
+        self.signals.set_engines(self.engines.iter().map(|(id, e)| (id, e.part.position)));
+        self.fractional_slices = slices_are_fractional(&self.site, f64::from(self.subset.max_sharers()));
     }
 
     /// Engines that the same workloads may use form a stratum, by zone where crossing is priced: each
@@ -902,7 +907,7 @@
             if let Some(engine) = self.engines.get_mut(id).filter(|e| e.ejected.is_none()) {
                 engine.fault_level = 1.0;
                 engine.ejected = Some((now + EJECTION_PAUSE.0, EJECTION_PAUSE.0 * 2));
-                self.signals.saw_ill(now, engine.mark);
+                self.signals.record_failure(now, engine.mark);
             }
         }
         let may_cancel = !found.is_empty() && self.site.can_cancel && !self.failure_is_widespread(now);
@@ -932,8 +937,8 @@
     }
 
     /// It is ejected, or other gateways report it as unhealthy.
-    fn is_unhealthy(&self, now: Duration, signals: &Signals) -> bool {
-        self.ejected.is_some() || signals.is_ill(now, self.mark)
+    fn is_unhealthy(&self, now: Duration, signals: &HealthGossip) -> bool {
+        self.ejected.is_some() || signals.is_unhealthy(now, self.mark)
     }
 
     /// Neither faults nor a slowdown that shows pressure.
--- a/src/scheduler/send_guard.rs
+++ b/src/scheduler/send_guard.rs
@@ -90,11 +90,18 @@
     }
 
     /// What an execution would take of the fleet's budgets.
-    pub(super) fn demand<'a>(&self, statement: &Statement, to: &'a Engine) -> Claim<'a> {
-        let (before, mem_mb) =
+    pub(super) fn demand<'a>(&self, statement: &Statement, to: &'a Engine) -> Demand<'a> {
+        let (previous_executions, mem_mb) =
             (statement.executions.len() as u32, statement.request.est_mem_mb.unwrap_or(0.0));
         let (workload, customer) = (statement.request.workload, statement.request.customer);
-        Claim { workload, customer, kind: &to.entry.kind, weight: self.weight(statement), mem_mb, before }
+        Demand {
+            workload,
+            customer,
+            kind: &to.entry.kind,
+            weight: self.weight(statement),
+            mem_mb,
+            previous_executions,
+        }
     }
 
     /// Whether none of the executions `before` could take effect a second time on this engine.
@@ -152,7 +159,9 @@
         let limit = warm * slow_start.capacity * slow_start.multiple * COLD_SAFETY_SHARE;
         let since = now.saturating_sub(to.entry.started);
         let sent = |span| to.cold_sends.iter().filter(|s| s.0 + span >= now).map(|s| s.1).sum::<f64>();
-        let has_slot = |span, many| to.part.draw.has(Turn { span, many }, &to.entry.id, since);
+        let has_slot = |duration, concurrent| {
+            to.part.participant.has_slot(RotationSlot { duration, concurrent }, &to.entry.id, since)
+        };
         let (half, many) = (slow_start.window / 2, (limit * COLD_LIGHT_SHARE / 2.0 / work) as u64);
         let each = to.part.owners().map_or(1, |owners| (many / owners).max(1)) as f64;
         let has_headroom = match (self.fractional_slices, many > 1) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 //! `scheduler.rs`.
 
 use crate::interface::*;
-use bramblewharf_turns::{Mark, Part};
+use bramblewharf_turns::{EngineHash, EngineShare};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -157,14 +157,14 @@
 pub(crate) struct Engine {
     pub(crate) entry: EngineEntry,
     /// This gateway's part of the engine.
-    pub(crate) part: Part,
+    pub(crate) part: EngineShare,
     /// Engines that the same workloads may use have the same stratum.
     pub(crate) stratum: u64,
     pub(crate) cores: f64,
     /// Weight of this gateway's executions in flight.
     pub(crate) load: f64,
     /// Its short id in messages between gateways.
-    pub(crate) mark: Mark,
+    pub(crate) mark: EngineHash,
     /// Load that the engine last reported, in threads a core, and when.
     pub(crate) reported_load: Option<(Duration, f64)>,
     /// Weight that this gateway has sent since that report.
@@ -192,8 +192,8 @@
 }
 
 impl Engine {
-    pub(crate) fn new(entry: EngineEntry, part: Part, now: Duration) -> Engine {
-        let mark = Mark::of(&entry.id);
+    pub(crate) fn new(entry: EngineEntry, part: EngineShare, now: Duration) -> Engine {
+        let mark = EngineHash::of(&entry.id);
         Engine {
             entry,
             part,
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -179,8 +179,8 @@
 fn an_engine_reported_unhealthy_is_probed_by_few_gateways() {
     let mut config = site(vec![workload(Idempotent)]);
     (config.gateways, config.can_gossip) = (300, true);
-    let words = vec![Word::Ill { engine: bramblewharf_turns::Mark::of("e1"), age: ms(0) }];
-    let zones = [1, 2, 3].map(|zone| Said { zone, words: words.clone() });
+    let words = vec![Observation::Unhealthy { engine: bramblewharf_turns::EngineHash::of("e1"), age: ms(0) }];
+    let zones = [1, 2, 3].map(|zone| GossipMessage { zone, observations: words.clone() });
     let tried = |witnesses: usize| {
         let mut tried = 0;
         for gateway in 0..300 {
