--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -4,7 +4,9 @@
 use crate::closes::{CloseReason, Closes};
 use crate::config::Bounds;
 use crate::connection::{is_quiet, Connection, Connections, Stream};
-use crate::reducer::{AfterCancel, Cancel, Ending, Parcel, Text, CANCEL_WITHIN};
+use crate::reducer::{
+    Cancel, CancelOutcome, EngineRequest, ExecutionResult, StatementText, MIN_CANCEL_WINDOW,
+};
 use crate::upload::{Sending, Upload};
 use actix_rt::net::TcpStream;
 use actix_rt::time::{sleep, timeout};
@@ -46,7 +48,7 @@
 /// How often the end of an execution or a page is asked for again where what came was no such thing, or did not come.
 const TRIES: usize = 5;
 
-const NOTHING: Text = Text::Whole(Bytes::new());
+const NOTHING: StatementText = StatementText::Inline(Bytes::new());
 const ALWAYS: May<'static> = May { begin: &|| true, arrive: &|| true };
 
 pub struct Engines {
@@ -157,7 +159,7 @@
 /// What one execution is sent with.
 pub struct Job<'a> {
     pub address: SocketAddr,
-    pub parcel: &'a Parcel,
+    pub engine_request: &'a EngineRequest,
     pub mem_mb: f64,
     /// Until when its end is waited for.
     pub until: Instant,
@@ -243,9 +245,9 @@
     }
 
     /// Runs one execution to its end; `heard` is told that it arrived, and the engine's notes.
-    pub async fn run(&self, job: Job<'_>, heard: impl Fn(Heard)) -> Ending {
+    pub async fn run(&self, job: Job<'_>, heard: impl Fn(Heard)) -> ExecutionResult {
         let mut way = Way::to(job.address);
-        let ending = self.run_by(&mut way, &job, heard).await;
+        let result = self.run_by(&mut way, &job, heard).await;
         if let Some(stream) = way
             .connection
             .take()
@@ -255,11 +257,11 @@
             let since = Instant::now();
             self.resting.borrow_mut().push_back(Resting { address: job.address, since, stream });
         }
-        ending
+        result
     }
 
-    async fn run_by(&self, way: &mut Way, job: &Job<'_>, heard: impl Fn(Heard)) -> Ending {
-        let id = String::from_utf8_lossy(&job.parcel.id);
+    async fn run_by(&self, way: &mut Way, job: &Job<'_>, heard: impl Fn(Heard)) -> ExecutionResult {
+        let id = String::from_utf8_lossy(&job.engine_request.id);
         let mut other = Way::to(job.address);
         let first = tokio::select! {
             biased;
@@ -317,15 +319,18 @@
                         // An engine that does not know it may never have had it whole; the path is at fault.
                         News::Failed(Outcome::Error) if lost => {
                             let report = self.report(&reply);
-                            return Ending { report, unread, ..Outcome::Reset.into() };
+                            return ExecutionResult { report, unread, ..Outcome::Reset.into() };
                         }
                         News::Failed(outcome) => {
-                            return Ending { report: self.report(&reply), ..outcome.into() };
+                            return ExecutionResult { report: self.report(&reply), ..outcome.into() };
                         }
                         News::Completed(pages) => match self.fetch(way, &id, &reply, pages).await {
-                            Ok(ending) => return ending,
+                            Ok(result) => return result,
                             Err(Unfetched::Gone) => {
-                                return Ending { report: self.report(&reply), ..Outcome::Error.into() };
+                                return ExecutionResult {
+                                    report: self.report(&reply),
+                                    ..Outcome::Error.into()
+                                };
                             }
                             Err(Unfetched::Odd) => odd += 1,
                         },
@@ -353,7 +358,7 @@
 
     /// Gives an execution up, and returns what is known of it then. A call that broke off may never have come whole, and is made
     /// again.
-    pub async fn stop(&self, address: SocketAddr, id: &str, cancel: Cancel) -> AfterCancel {
+    pub async fn stop(&self, address: SocketAddr, id: &str, cancel: Cancel) -> CancelOutcome {
         let uri = format!("http://{address}/x/{id}");
         let delete = |client: &Client| client.delete(&uri);
         let (began, mut pause, mut arrived) = (Instant::now(), PAUSE, cancel.arrived);
@@ -383,24 +388,24 @@
                         continue;
                     }
                     if cut && reads {
-                        return AfterCancel::CutOff;
+                        return CancelOutcome::CutOff;
                     }
                 }
-                Call::Answered(_) if arrived => return AfterCancel::Over,
+                Call::Answered(_) if arrived => return CancelOutcome::Over,
                 // Nothing waits for it: told once is enough.
-                Call::Answered(_) => return AfterCancel::Unread,
-                Call::NotMade(true) => return AfterCancel::Gone,
+                Call::Answered(_) => return CancelOutcome::Unread,
+                Call::NotMade(true) => return CancelOutcome::Gone,
                 // Where second copies are allowed nothing waits for it, and it must not crowd out what does.
                 _ if !self.one_at_a_time && self.connections() >= self.bounds.engines * 3 / 4 => break,
-                _ if looks_first && cut && !came_up && began.elapsed() >= CANCEL_WITHIN => {
-                    return AfterCancel::CutOff;
+                _ if looks_first && cut && !came_up && began.elapsed() >= MIN_CANCEL_WINDOW => {
+                    return CancelOutcome::CutOff;
                 }
                 _ => {}
             }
             sleep(if answered.is_some() { READS_WITHIN } else { pause }).await;
             pause = (pause * 2).min(LONGEST_PAUSE);
         }
-        answered.map_or(AfterCancel::Unknown, |_| AfterCancel::Unread)
+        answered.map_or(CancelOutcome::Unknown, |_| CancelOutcome::Unread)
     }
 
     /// Whether an engine has read all that was sent to it before, as it answers calls that far apart, or its process is gone. `name`: of
@@ -425,22 +430,22 @@
 
     /// An execution whose text broke off, or whose answers are none.
     async fn end_what_is_of_no_use(&self, job: &Job<'_>, id: &str) {
-        let cancel = Cancel { arrived: true, within: CANCEL_WITHIN, awaited: self.one_at_a_time };
+        let cancel = Cancel { arrived: true, within: MIN_CANCEL_WINDOW, awaited: self.one_at_a_time };
         self.stop(job.address, id, cancel).await;
     }
 
     async fn post(&self, way: &mut Way, job: &Job<'_>) -> Call {
-        let Job { parcel, mem_mb, until, .. } = job;
+        let Job { engine_request, mem_mb, until, .. } = job;
         let uri = format!("http://{}/x", way.address);
         let request = |client: &Client| {
             // What is left right before it goes out: a connection may have been made in between.
             let left = until.saturating_duration_since(Instant::now());
             let mut request = client
                 .post(&uri)
-                .insert_header(("X-Ticket", &parcel.id[..]))
-                .insert_header(("X-Queue", &parcel.workload[..]))
+                .insert_header(("X-Ticket", &engine_request.id[..]))
+                .insert_header(("X-Queue", &engine_request.workload[..]))
                 .insert_header(("X-Max-Ms", left.as_micros().div_ceil(1000).max(1) as u64));
-            if let Some(key) = &parcel.key {
+            if let Some(key) = &engine_request.key {
                 request = request.insert_header(("X-Nonce", &key[..]));
             }
             if *mem_mb > 0.0 {
@@ -448,7 +453,7 @@
             }
             request
         };
-        self.call(way, request, &parcel.text, UNANSWERED, job.may).await
+        self.call(way, request, &engine_request.text, UNANSWERED, job.may).await
     }
 
     /// The news of an execution, or a further page of its result.
@@ -515,7 +520,7 @@
         &self,
         way: &mut Way,
         request: impl Fn(&Client) -> ClientRequest,
-        text: &Text,
+        text: &StatementText,
         within: Duration,
         may: May<'_>,
     ) -> Call {
@@ -533,11 +538,11 @@
             connection.ask();
             let request = request(&way.client).no_decompress();
             let reply = match text {
-                Text::Whole(text) => {
+                StatementText::Inline(text) => {
                     let sent = request.send_body(text.clone());
                     timeout(within, self.reply(sent)).await.ok()
                 }
-                Text::Body(body) => {
+                StatementText::Stored(body) => {
                     let Some(outgoing) = body.start_sending() else { return Call::NoRoom };
                     let upload = Upload::new(&outgoing, connection.clone());
                     let sent = request.send_body(Sending::new(outgoing, upload.cut()));
@@ -552,12 +557,12 @@
             way.leave();
             if connection.sent() {
                 return match text {
-                    Text::Body(body) if body.is_aborted() || body.is_corrupted() => Call::Broken,
+                    StatementText::Stored(body) if body.is_aborted() || body.is_corrupted() => Call::Broken,
                     _ if is_silent => Call::Silent,
                     _ => Call::Lost,
                 };
             }
-            if let Text::Body(body) = text {
+            if let StatementText::Stored(body) = text {
                 body.return_unsent();
             }
         }
@@ -588,7 +593,13 @@
     }
 
     /// Completed is what is here whole: a page that is missing or cannot be read may not pass for a result.
-    async fn fetch(&self, way: &mut Way, id: &str, first: &Reply, count: usize) -> Result<Ending, Unfetched> {
+    async fn fetch(
+        &self,
+        way: &mut Way,
+        id: &str,
+        first: &Reply,
+        count: usize,
+    ) -> Result<ExecutionResult, Unfetched> {
         let work = first.number::<f64>("Work-Ms").filter(|ms| *ms >= 0.0 && ms.is_finite());
         let mem = first.number::<f64>("Peak-Mb").filter(|mb| *mb >= 0.0 && mb.is_finite()).unwrap_or(0.0);
         let consumed = work.map(|ms| (Duration::from_secs_f64((ms / 1e3).min(1e6)), mem));
@@ -606,7 +617,13 @@
             }
             pages.push(page);
         }
-        Ok(Ending { outcome: Outcome::Completed, pages, consumed, report: self.report(first), unread: false })
+        Ok(ExecutionResult {
+            outcome: Outcome::Completed,
+            pages,
+            consumed,
+            report: self.report(first),
+            unread: false,
+        })
     }
 
     async fn page(
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -5,7 +5,7 @@
 use crate::config::Bounds;
 use crate::connection::{Connection, Connections, Stream};
 use crate::intake::{self, Came};
-use crate::reducer::{Answer, Input, Parcel, Taken, Text};
+use crate::reducer::{Answer, EngineRequest, Input, StatementText, SubmittedStatement};
 use crate::runtime::Core;
 use crate::sessions::Sessions;
 use crate::tables;
@@ -285,7 +285,7 @@
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             self.core.forget(self.caller);
-            self.core.input(Input::Left(id));
+            self.core.input(Input::ClientDisconnected(id));
         }
     }
 }
@@ -302,34 +302,34 @@
     let asked = read_head(core, workload, headers)?;
     let came = intake::take(core, payload, headers, asked.0.workload, text_by, connection.as_deref());
     let (text, mut rest) = match came.await? {
-        Came::Whole(text) => (Text::Whole(text), None),
-        Came::Kept(body) => (Text::Body(body), None),
-        Came::Passing(body, rest) => (Text::Body(body), Some(rest)),
+        Came::Whole(text) => (StatementText::Inline(text), None),
+        Came::Kept(body) => (StatementText::Stored(body), None),
+        Came::Passing(body, rest) => (StatementText::Stored(body), Some(rest)),
         // Nothing was sent: harmless to repeat, and what still comes of it is not read.
         Came::NoRoom => {
             let response = next("", Some(Answer::Rejected(core.stay_away)));
             return Ok(close_behind(response, connection.as_deref()));
         }
     };
-    let (mut said, mut parcel) = asked;
+    let (mut statement, mut engine_request) = asked;
     let mut unkept = None;
     match &text {
-        Text::Whole(text) => said.table_group = tables::group(text),
-        Text::Body(body) => {
-            said.replayable = rest.is_none();
-            said.table_group = tables::group_of_part(&body.take_prefix());
+        StatementText::Inline(text) => statement.table_group = tables::group(text),
+        StatementText::Stored(body) => {
+            statement.replayable = rest.is_none();
+            statement.table_group = tables::group_of_part(&body.take_prefix());
             unkept = Some(body.not_kept());
         }
     }
-    parcel.text = text;
+    engine_request.text = text;
     // Its time counts from when it came; it may have waited while this process stood still.
     let now = Instant::now();
-    core.standstill.works(now);
-    said.time_left = said.time_left.saturating_sub(core.standstill.waited(now));
-    let id = said.id.clone();
+    core.standstill.record_activity(now);
+    statement.time_left = statement.time_left.saturating_sub(core.standstill.queueing_delay(now));
+    let id = statement.id.clone();
     let (caller, mut answer) = core.expect();
     let mut waiting = Waiting { core: core.clone(), id: Some(id.clone()), caller };
-    core.input(Input::Statement(Taken { caller, said, parcel }));
+    core.input(Input::Statement(SubmittedStatement { caller, statement, engine_request }));
     if let Some(rest) = &mut rest {
         // What comes goes on to the engine. An answer before the end of it ends the connection, on which the rest still is.
         tokio::select! {
@@ -345,7 +345,7 @@
     let left = async {
         ended(connection.as_deref()).await;
         // The client has left, or sends no more: with either, no answer is awaited for long.
-        core.input(Input::Left(id.clone()));
+        core.input(Input::ClientDisconnected(id.clone()));
         std::future::pending::<Infallible>().await
     };
     let answered = tokio::select! {
@@ -410,7 +410,11 @@
 
 /// The fields that the decisions need; all else stays as it came. What a client of this protocol does not send is refused:
 /// engines would have to make of it what they can.
-fn read_head(core: &Core, workload: &str, headers: &HeaderMap) -> Result<(NewStatement, Parcel), Refused> {
+fn read_head(
+    core: &Core,
+    workload: &str,
+    headers: &HeaderMap,
+) -> Result<(NewStatement, EngineRequest), Refused> {
     let bad = |why: &'static str| (StatusCode::BAD_REQUEST, why);
     let names = &core.names;
     let at = names.workloads.iter().position(|name| name == workload);
@@ -465,7 +469,7 @@
     if !key.iter().all(sound) || (key.is_none() && core.keyed.get(at).copied().unwrap_or(false)) {
         return Err(bad("X-Operation-Key: is no key"));
     }
-    let said = NewStatement {
+    let statement = NewStatement {
         id: id.into(),
         workload: at,
         customer,
@@ -476,13 +480,13 @@
         table_group: None,
         replayable: true,
     };
-    let parcel = Parcel {
+    let engine_request = EngineRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
         workload: Bytes::copy_from_slice(workload.as_bytes()),
         key: key.map(|key| Bytes::copy_from_slice(key.as_bytes())),
-        text: Text::Whole(Bytes::new()),
+        text: StatementText::Inline(Bytes::new()),
     };
-    Ok((said, parcel))
+    Ok((statement, engine_request))
 }
 
 /// Digits, and perhaps a point and digits, above 0: no signs, exponents or words, which only look like numbers.
--- a/crates/gateway/src/hearing.rs
+++ b/crates/gateway/src/hearing.rs
@@ -1,6 +1,6 @@
 //! Whether engines have read what a process before this one may have sent them: each is asked, a few at a time.
 
-use crate::reducer::Listed;
+use crate::reducer::ListedEngine;
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     }
 
     /// Engines that a process before this one may have sent to.
-    pub fn listed<'a>(&mut self, engines: impl Iterator<Item = &'a Listed>) {
+    pub fn listed<'a>(&mut self, engines: impl Iterator<Item = &'a ListedEngine>) {
         for listed in engines {
             if self.seen.insert(listed.address) {
                 self.waiting.push_back(listed.address);
--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -43,9 +43,9 @@
 
 /// How often each was found broken.
 #[derive(Clone, Debug, Default)]
-pub struct Broken([u64; ALL.len()]);
+pub struct Violations([u64; ALL.len()]);
 
-impl Broken {
+impl Violations {
     /// Asserts in debug builds; in release builds counts, and the caller goes on as best it can.
     pub fn check(&mut self, invariant: Invariant, holds: bool) -> bool {
         debug_assert!(holds, "invariant broken: {invariant:?}");
--- a/crates/gateway/src/names/answer.rs
+++ b/crates/gateway/src/names/answer.rs
@@ -1,7 +1,7 @@
 //! The list of engines as an answer of the name service holds it.
 
 use super::Known;
-use crate::reducer::Listed;
+use crate::reducer::ListedEngine;
 use bramblewharf::interface::{EngineEntry, EngineState};
 use hickory_proto::op::{Message, ResponseCode};
 use hickory_proto::rr::{Name, RData};
@@ -46,7 +46,7 @@
             nominal: f64::from(srv.weight) / 10.0,
             started: Duration::from_millis(told("started")?.parse().ok()?),
         };
-        list.push(Listed { entry, address: SocketAddr::new(ip, srv.port) });
+        list.push(ListedEngine { entry, address: SocketAddr::new(ip, srv.port) });
     }
     Some(Known { no: u64::from(serial), list })
 }
--- a/crates/gateway/src/names/known.rs
+++ b/crates/gateway/src/names/known.rs
@@ -1,6 +1,6 @@
 //! The list of engines as a configuration holds it.
 
-use crate::reducer::Listed;
+use crate::reducer::ListedEngine;
 use bramblewharf::interface::{EngineEntry, EngineState, Id};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -10,12 +10,12 @@
 #[derive(Clone, Debug)]
 pub struct Known {
     pub no: u64,
-    pub list: Vec<Listed>,
+    pub list: Vec<ListedEngine>,
 }
 
 /// Reads `known` of the configuration: the first event holds the whole list, later ones what has changed.
 pub fn known(value: &Value) -> Result<Known, String> {
-    let mut engines: BTreeMap<Id, Listed> = BTreeMap::new();
+    let mut engines: BTreeMap<Id, ListedEngine> = BTreeMap::new();
     let items = value.get("items").and_then(Value::as_array).ok_or("known.items: is not a list")?;
     for (at, item) in items.iter().enumerate() {
         let path = format!("known.items[{at}].roster");
@@ -35,7 +35,7 @@
     Ok(Known { no, list: engines.into_values().collect() })
 }
 
-fn member(row: &Value) -> Result<Listed, String> {
+fn member(row: &Value) -> Result<ListedEngine, String> {
     let text =
         |key: &str| row.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key}: is not a text"));
     let state = match text("phase")? {
@@ -55,5 +55,5 @@
         nominal: row.get("size").and_then(Value::as_f64).unwrap_or(1.0),
         started: Duration::from_millis(row.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0)),
     };
-    Ok(Listed { entry, address })
+    Ok(ListedEngine { entry, address })
 }
--- a/crates/gateway/src/unsettled.rs
+++ b/crates/gateway/src/orphans.rs
@@ -11,49 +11,54 @@
 type Key = (Id, usize);
 
 struct Entry {
-    name: OrphanId,
+    orphan_id: OrphanId,
     /// A process before this one sent it: nothing is known of how its connection ended.
     inherited: bool,
 }
 
 /// Bounded by what the budgets count.
 #[derive(Default)]
-pub struct Unsettled {
+pub struct OrphanTracker {
     entries: HashMap<Key, Entry>,
     slots: Option<Slots>,
 }
 
-impl Unsettled {
+impl OrphanTracker {
     /// With a record of what is out, where one is kept.
-    pub fn with_record(slots: Option<Slots>) -> Unsettled {
-        Unsettled { entries: HashMap::new(), slots }
+    pub fn with_record(slots: Option<Slots>) -> OrphanTracker {
+        OrphanTracker { entries: HashMap::new(), slots }
     }
 
     /// What the record begins with.
-    pub fn first_writes(&mut self, inherited: &[(Outstanding, OrphanId)]) -> Vec<Write> {
+    pub fn initial_writes(&mut self, inherited: &[(Outstanding, OrphanId)]) -> Vec<Write> {
         let Some(slots) = &mut self.slots else { return Vec::new() };
         let used: Vec<Write> = inherited.iter().map(|(outstanding, _)| slots.add(outstanding)).collect();
         used.into_iter().chain([slots.header()]).collect()
     }
 
     /// A process before this one sent it.
-    pub fn inherit(&mut self, id: Id, execution: usize, name: OrphanId) {
-        self.entries.insert((id, execution), Entry { name, inherited: true });
+    pub fn inherit(&mut self, id: Id, execution: usize, orphan_id: OrphanId) {
+        self.entries.insert((id, execution), Entry { orphan_id, inherited: true });
     }
 
     /// It goes out: to be written before its first byte.
-    pub fn sent(&mut self, outstanding: impl FnOnce() -> Outstanding) -> Option<Write> {
+    pub fn execution_sent(&mut self, outstanding: impl FnOnce() -> Outstanding) -> Option<Write> {
         self.slots.as_mut().map(|slots| slots.add(&outstanding()))
     }
 
     /// It has ended here; `name`: what may remain of it counts by that.
-    pub fn ended(&mut self, id: &Id, execution: usize, name: Option<OrphanId>) -> Option<Write> {
-        match name {
-            Some(name) => {
-                self.entries.insert((id.clone(), execution), Entry { name, inherited: false });
+    pub fn execution_ended(
+        &mut self,
+        id: &Id,
+        execution: usize,
+        orphan_id: Option<OrphanId>,
+    ) -> Option<Write> {
+        match orphan_id {
+            Some(orphan_id) => {
+                self.entries.insert((id.clone(), execution), Entry { orphan_id, inherited: false });
                 None
             }
-            None => self.is_over(id, execution),
+            None => self.remove_record(id, execution),
         }
     }
 
@@ -71,12 +76,12 @@
         remains: Remains,
     ) -> Option<Option<Write>> {
         let entry = self.entries.remove(&(id.clone(), execution))?;
-        match node.settle(now, entry.name, remains) {
-            Some(name) => {
-                self.entries.insert((id.clone(), execution), Entry { name, ..entry });
+        match node.settle(now, entry.orphan_id, remains) {
+            Some(orphan_id) => {
+                self.entries.insert((id.clone(), execution), Entry { orphan_id, ..entry });
                 Some(None)
             }
-            None => Some(self.is_over(id, execution)),
+            None => Some(self.remove_record(id, execution)),
         }
     }
 
@@ -86,14 +91,14 @@
     }
 
     /// Drops what can't run any more, and says in the record when that holds all there is.
-    pub fn look(&mut self, node: &Node) -> Vec<Write> {
+    pub fn remove_expired(&mut self, node: &Node) -> Vec<Write> {
         let mut writes = Vec::new();
         if self.entries.len() > node.lingering() {
-            let over = self.entries.iter().filter(|(_, entry)| !node.lingers(entry.name));
+            let over = self.entries.iter().filter(|(_, entry)| !node.lingers(entry.orphan_id));
             let over: Vec<Key> = over.map(|(key, _)| key.clone()).collect();
             for (id, execution) in over {
                 self.entries.remove(&(id.clone(), execution));
-                writes.extend(self.is_over(&id, execution));
+                writes.extend(self.remove_record(&id, execution));
             }
         }
         if node.counts_everything() {
@@ -102,7 +107,7 @@
         writes
     }
 
-    fn is_over(&mut self, id: &Id, execution: usize) -> Option<Write> {
+    fn remove_record(&mut self, id: &Id, execution: usize) -> Option<Write> {
         self.slots.as_mut()?.remove(id, execution)
     }
 }
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -3,8 +3,8 @@
 use super::io::{Cancel, Effect};
 use super::Reducer;
 use crate::hearing::Hearing;
+use crate::orphans::OrphanTracker;
 use crate::policy::{Names, Permitted};
-use crate::unsettled::Unsettled;
 use bramblewharf::interface::{Event, Id};
 use bramblewharf_budgets::{AdmissionCheck, Demand};
 use bramblewharf_fleet::node::{self, Node, Remains};
@@ -17,19 +17,19 @@
 use std::time::Duration;
 
 /// How long the keeper's word of the process before is waited for until engines are asked instead.
-const KEEPER_FIRST: Duration = Duration::from_millis(250);
+const LEADER_REPLY_WAIT: Duration = Duration::from_millis(250);
 
 /// A gateway's part in its fleet, after whatever process had its place before.
-pub struct Part {
+pub struct FleetMembership {
     pub start: node::Start,
     pub predecessor: Predecessor,
     /// The record of what is out, where one is kept.
     pub slots: Option<Slots>,
 }
 
-impl From<node::Start> for Part {
-    fn from(start: node::Start) -> Part {
-        Part { start, predecessor: Predecessor::Ended, slots: None }
+impl From<node::Start> for FleetMembership {
+    fn from(start: node::Start) -> FleetMembership {
+        FleetMembership { start, predecessor: Predecessor::Ended, slots: None }
     }
 }
 
@@ -42,76 +42,82 @@
 
 impl Reducer {
     /// Takes its part in the fleet, with what a process before it may have out.
-    pub(super) fn join(&mut self, now: Duration, part: Part) {
-        let Part { start, predecessor, slots } = part;
+    pub(super) fn join_fleet(&mut self, now: Duration, membership: FleetMembership) {
+        let FleetMembership { start, predecessor, slots } = membership;
         self.hearing = match predecessor {
             Predecessor::Ended => None,
             Predecessor::Unknown => Some(Hearing::start(now)),
-            Predecessor::Recorded(_) => Some(Hearing::start(now + KEEPER_FIRST)),
+            Predecessor::Recorded(_) => Some(Hearing::start(now + LEADER_REPLY_WAIT)),
         };
         let (node, inherited) = Node::start_after(start, predecessor, now);
-        self.unsettled = Unsettled::with_record(slots);
-        let writes = self.unsettled.first_writes(&inherited);
-        self.effects.extend(writes.into_iter().map(Effect::Record));
+        self.orphans = OrphanTracker::with_record(slots);
+        let writes = self.orphans.initial_writes(&inherited);
+        self.effects.extend(writes.into_iter().map(Effect::RecordOutstanding));
         let cancel = Cancel { arrived: false, within: node.max_unconfirmed_time(), awaited: true };
         for (Outstanding { id, execution, engine: address, .. }, name) in inherited {
             let id = Id::from(id);
             let engine = Id::from(address.to_string());
-            self.unsettled.inherit(id.clone(), execution, name);
+            self.orphans.inherit(id.clone(), execution, name);
             self.effects.push(Effect::Stop { id, execution, engine, address, cancel });
         }
         self.fleet = Some(Box::new(node));
-        self.room_changed = true;
+        self.headroom_changed = true;
     }
 
     /// Gives the fleet's machine its time, and the decisions what is left now where that has changed.
-    pub(super) fn look_at_fleet(&mut self, now: Duration) {
+    pub(super) fn tick_fleet(&mut self, now: Duration) {
         let Some(node) = &mut self.fleet else { return };
-        if self.fleet_due.is_none_or(|due| now >= due) {
-            let said = node.tick(now);
-            self.carry_on(now, said);
+        if self.next_fleet_tick.is_none_or(|due| now >= due) {
+            let effects = node.tick(now);
+            self.apply_fleet_effects(now, effects);
             self.tick_policy(now);
-            self.look_at_unsettled(now);
+            self.update_orphans(now);
         }
-        self.tell_room(now);
+        self.publish_headroom(now);
     }
 
     /// What can't run any more is dropped, and engines are heard while it is not known what a process before may have out.
-    pub(super) fn look_at_unsettled(&mut self, now: Duration) {
+    pub(super) fn update_orphans(&mut self, now: Duration) {
         let Some(node) = &self.fleet else { return };
-        self.effects.extend(self.unsettled.look(node).into_iter().map(Effect::Record));
+        self.effects.extend(self.orphans.remove_expired(node).into_iter().map(Effect::RecordOutstanding));
         if node.counts_everything() {
             self.hearing = None;
         }
-        let (within, name) =
+        let (within, probe_id) =
             (node.max_unconfirmed_time(), Id::from(format!("{:016x}", node.incarnation().0)));
         let next = self.hearing.as_mut().map(|hearing| hearing.next(now)).unwrap_or_default();
-        let hear = |address| Effect::Hear { address, name: name.clone(), within };
-        self.effects.extend(next.into_iter().map(hear));
+        let probe = |address| Effect::ProbeEngine { address, probe_id: probe_id.clone(), within };
+        self.effects.extend(next.into_iter().map(probe));
     }
 
-    pub(super) fn engine_heard(&mut self, now: Duration, has_read: bool) {
+    pub(super) fn engine_probed(&mut self, now: Duration, has_read: bool) {
         let (Some(hearing), Some(node)) = (&mut self.hearing, &mut self.fleet) else { return };
         hearing.heard(has_read);
         if hearing.is_over() {
             self.hearing = None;
             node.engines_confirmed(now);
             // The floors are there sooner.
-            self.room_changed = true;
-            self.tell_room(now);
+            self.headroom_changed = true;
+            self.publish_headroom(now);
         }
-        self.look_at_unsettled(now);
+        self.update_orphans(now);
     }
 
     pub(super) fn tick_policy(&mut self, now: Duration) {
         let (Some(policy), Some(node)) = (&mut self.policy, &self.fleet) else { return };
         if now >= policy.node.due(now) {
-            let said = policy.node.tick(now, node.leader_lease(now));
-            self.carry_policy(now, said);
+            let effects = policy.node.tick(now, node.leader_lease(now));
+            self.apply_policy_effects(now, effects);
         }
     }
 
-    pub(super) fn heard_of_policy(&mut self, now: Duration, party: Party, bytes: &[u8], from: SocketAddr) {
+    pub(super) fn handle_policy_message(
+        &mut self,
+        now: Duration,
+        party: Party,
+        bytes: &[u8],
+        from: SocketAddr,
+    ) {
         let (Some(policy), Some(node)) = (&mut self.policy, &self.fleet) else { return };
         let Some(message) = policy::PolicyMessage::read(bytes) else { return };
         let (to, place) = match party {
@@ -119,21 +125,21 @@
             Party::Member(place) => (node::Recipient::Address(from), Some(place)),
             Party::Tool => (node::Recipient::Address(from), None),
         };
-        let said = policy.node.handle_message(now, to, place, message, node.leader_lease(now));
-        self.carry_policy(now, said);
+        let effects = policy.node.handle_message(now, to, place, message, node.leader_lease(now));
+        self.apply_policy_effects(now, effects);
     }
 
-    pub(super) fn carry_policy(&mut self, now: Duration, effects: Vec<policy::Effect>) {
+    pub(super) fn apply_policy_effects(&mut self, now: Duration, effects: Vec<policy::Effect>) {
         let (Some(policy), Some(node)) = (&mut self.policy, &mut self.fleet) else { return };
         for effect in effects {
             match effect {
                 policy::Effect::Send { to, message } => {
                     let as_place = matches!(message, policy::PolicyMessage::GrantRequest(_));
                     let envelope = node.wrap_message(Message::Policy(message.write()), as_place);
-                    self.effects.push(Effect::Say { to, envelope });
+                    self.effects.push(Effect::SendToFleet { to, envelope });
                 }
                 policy::Effect::Store { generation, bytes } => {
-                    self.effects.push(Effect::Keep { generation, bytes })
+                    self.effects.push(Effect::StorePolicy { generation, bytes })
                 }
                 policy::Effect::PermitChanged => {}
             }
@@ -141,64 +147,66 @@
         let permit = policy.node.permit(now);
         if permit != policy.permit {
             policy.permit = permit;
-            self.room_changed = true;
+            self.headroom_changed = true;
         }
-        self.tell_room(now);
+        self.publish_headroom(now);
     }
 
-    pub(super) fn carry_on(&mut self, now: Duration, effects: Vec<node::Effect>) {
+    pub(super) fn apply_fleet_effects(&mut self, now: Duration, effects: Vec<node::Effect>) {
         for effect in effects {
             match effect {
-                node::Effect::Send { to, envelope } => self.effects.push(Effect::Say { to, envelope }),
-                node::Effect::HeadroomChanged => self.room_changed = true,
+                node::Effect::Send { to, envelope } => {
+                    self.effects.push(Effect::SendToFleet { to, envelope })
+                }
+                node::Effect::HeadroomChanged => self.headroom_changed = true,
             }
         }
-        self.tell_room(now);
+        self.publish_headroom(now);
     }
 
-    pub(super) fn tell_room(&mut self, now: Duration) {
+    pub(super) fn publish_headroom(&mut self, now: Duration) {
         let Some(node) = &mut self.fleet else { return };
-        if self.room_changed || self.room_due.is_some_and(|due| now >= due) {
-            self.room_changed = false;
+        if self.headroom_changed || self.next_headroom_update.is_some_and(|due| now >= due) {
+            self.headroom_changed = false;
             // Before whatever else there is news of: nothing is decided by what was left before.
             let permitted = self.policy.as_ref().map(|policy| {
                 let (permit, names) = (policy.permit.clone(), policy.names.clone());
                 Arc::new(Permitted { permit, names }) as Arc<dyn AdmissionCheck>
             });
-            self.news.push_front(Event::BudgetHeadroom(node.headroom(now).with_check(permitted)));
-            self.room_due = node.headroom_due(now);
+            self.events.push_front(Event::BudgetHeadroom(node.headroom(now).with_check(permitted)));
+            self.next_headroom_update = node.headroom_due(now);
         }
         let policy = self.policy.as_ref().map(|policy| policy.node.due(now));
-        self.fleet_due = policy.into_iter().chain([node.due(now)]).min();
+        self.next_fleet_tick = policy.into_iter().chain([node.due(now)]).min();
     }
 
-    pub(super) fn cancel_unheard(&self, id: &Id, execution: usize) -> Option<Cancel> {
+    pub(super) fn cancel_unconfirmed(&self, id: &Id, execution: usize) -> Option<Cancel> {
         let node = self.fleet.as_ref()?;
-        self.unsettled.contains(id, execution).then(|| Cancel {
+        self.orphans.contains(id, execution).then(|| Cancel {
             arrived: false,
             within: node.max_unconfirmed_time(),
             awaited: true,
         })
     }
 
-    pub(super) fn settle_unheard(&mut self, now: Duration, id: &Id, execution: usize, remains: Remains) {
+    pub(super) fn settle_orphan(&mut self, now: Duration, id: &Id, execution: usize, remains: Remains) {
         let Some(node) = &mut self.fleet else { return };
-        let Some(write) = self.unsettled.settle(now, node, (id, execution), remains) else { return };
-        self.effects.extend(write.map(Effect::Record));
-        self.room_changed = true;
-        self.tell_room(now);
+        let Some(write) = self.orphans.settle(now, node, (id, execution), remains) else { return };
+        self.effects.extend(write.map(Effect::RecordOutstanding));
+        self.headroom_changed = true;
+        self.publish_headroom(now);
     }
 
     /// What was rejected for want of leave is a need to be told.
-    pub(super) fn was_refused(&mut self, now: Duration, id: &Id) {
-        let (Some(node), Some(stmt)) = (&mut self.fleet, self.stmts.get(id)) else { return };
-        let (workload, customer, mem_mb) = stmt.counts_as;
-        let weight = self.threads.get(workload).copied().unwrap_or(1.0);
+    pub(super) fn report_refusal(&mut self, now: Duration, id: &Id) {
+        let (Some(node), Some(stmt)) = (&mut self.fleet, self.statements.get(id)) else { return };
+        let (workload, customer, mem_mb) = stmt.budget_key;
+        let weight = self.workload_threads.get(workload).copied().unwrap_or(1.0);
         let previous_executions = stmt.executions.len() as u32;
         node.statement_refused(
             now,
             &Demand { workload, customer, kind: "", weight, mem_mb, previous_executions },
         );
-        self.fleet_due = Some(node.due(now));
+        self.next_fleet_tick = Some(node.due(now));
     }
 }
--- a/crates/gateway/src/reducer/io.rs
+++ b/crates/gateway/src/reducer/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the reducer and what comes out of it.
+//! The inputs and effects of the reducer.
 
 use bramblewharf::interface::*;
 use bramblewharf_bodies::Body;
@@ -8,159 +8,166 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What goes on unchanged to an engine.
+/// The parts of a client's call that are forwarded to an engine unchanged.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct EngineRequest {
     pub id: Bytes,
     pub workload: Bytes,
     pub key: Option<Bytes>,
-    pub text: Text,
+    pub text: StatementText,
 }
 
-/// A statement's text: as it came, or, beyond the ordinary size, where it is kept.
+/// A statement's text: inline, or in the body store if it exceeds the ordinary size.
 #[derive(Clone, Debug)]
-pub enum Text {
-    Whole(Bytes),
-    Body(Rc<Body>),
+pub enum StatementText {
+    Inline(Bytes),
+    Stored(Rc<Body>),
 }
 
+/// A statement as the front end hands it over.
 #[derive(Debug)]
-pub struct Taken {
-    /// Whom the answer goes to: a number of the front's own.
+pub struct SubmittedStatement {
+    /// Identifies the waiting call in the front end; the answer is addressed to it.
     pub caller: u64,
-    pub said: NewStatement,
-    pub parcel: Parcel,
+    pub statement: NewStatement,
+    pub engine_request: EngineRequest,
 }
 
+/// Everything that can change the reducer's state, apart from time.
 #[derive(Debug)]
 pub enum Input {
-    Statement(Taken),
-    /// The client has left, or its connection has.
-    Left(Id),
-    /// No call of its client is open, or one is again.
-    Absent(Id, bool),
-    /// Its text can't be sent again any more.
-    Unkept(Id),
-    Noted {
+    Statement(SubmittedStatement),
+    /// The client cancelled its statement or closed the connection.
+    ClientDisconnected(Id),
+    /// Whether the client is away, that is, has no call open to wait for the answer.
+    ClientAway(Id, bool),
+    /// The statement's body is no longer available, so the statement can't be sent again.
+    BodyLost(Id),
+    /// An interim report of the engine on an execution.
+    ExecutionNoted {
         id: Id,
         execution: usize,
         note: Note,
     },
-    Ended {
+    /// The engine's response to an execution, or the failure of its connection.
+    ExecutionEnded {
         id: Id,
         execution: usize,
-        ending: Ending,
+        result: ExecutionResult,
     },
-    /// Its engine has shown that it has it.
-    Arrived {
+    /// The engine has shown that it has received the execution.
+    ExecutionArrived {
         id: Id,
         execution: usize,
     },
-    /// The engine of a stopped execution has been told to end it, or could not be.
-    Stopped {
+    /// The cancel of a stopped execution has been delivered, or given up.
+    CancelFinished {
         id: Id,
         execution: usize,
-        after: AfterCancel,
+        outcome: CancelOutcome,
     },
-    /// An engine that was to be heard has read all that had been sent to it before, or did not answer.
-    EngineHeard {
+    /// Response to `Effect::ProbeEngine`: whether the engine has read everything that was sent to it before.
+    EngineProbed {
         has_read: bool,
     },
-    Engines(ListKind, Vec<Listed>),
-    /// The name service was listened to just now; its last usable answer is to a question of then, where there is a new one.
-    ListAsked(Option<Duration>),
-    /// The name service told a list of an earlier number.
-    ListDisputed(Vec<Listed>),
-    /// There is no name service to ask any longer.
-    ListStays,
-    /// What another gateway told.
-    Told(Event),
-    /// What another part of the fleet said, and from where.
-    Fleet(Envelope, SocketAddr),
-    /// How a write of what has to last of the fleet's policy went.
-    Kept {
+    EngineList(ListKind, Vec<ListedEngine>),
+    /// The name service was polled just now. If it confirmed the list: the time of the question that it answered.
+    ListPolled(Option<Duration>),
+    /// The name service returned a list with a lower number than the current one.
+    ListConflict(Vec<ListedEngine>),
+    /// No name service is configured any longer.
+    ListPollingStopped,
+    /// A message of another gateway about engines.
+    PeerEvent(Event),
+    /// A message of the fleet's protocol, and its sender.
+    FleetMessage(Envelope, SocketAddr),
+    /// Response to `Effect::StorePolicy`.
+    PolicyStored {
         generation: u64,
-        well: bool,
+        succeeded: bool,
     },
-    /// The gateway leaves the fleet: nothing more of it comes.
-    Depart,
-    /// Something may be due.
+    /// The gateway leaves the fleet and sends nothing more.
+    LeaveFleet,
+    /// A timer may have expired.
     Wake,
-    /// The gateway will close: what it begins from now on has to be over by then.
+    /// The gateway will close: executions that start from now on have to end by this time.
     Closing(Duration),
-    /// The gateway closes: what is still unanswered is aborted, and what yet comes is turned away.
+    /// The gateway closes: open statements are aborted and new ones rejected.
     Close,
 }
 
-/// What is known of an execution once its engine was told to end it.
+/// What is known of an execution after its cancel. The variants are printed in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterCancel {
-    /// The engine had it, and has ended it.
+pub enum CancelOutcome {
+    /// The engine had received the execution and has ended it.
     Over,
-    /// The engine answers, but nothing shows that it had it: what was sent may wait in a connection that it has not read.
+    /// The engine answers, but nothing shows that it received the execution, which may wait unread in a connection.
     Unread,
     /// The engine refused the connection: its process is gone.
     Gone,
-    /// No connection came up to the engine's machine, for as long as an engine goes on with what nobody asks for, or until it answered
-    /// again and did not have it: it was cut off, and what it had not received by then it does not receive any more.
+    /// No connection to the engine's machine could be made for the whole orphan retention, or until the engine answered again without
+    /// knowing the execution. The connection was reset: what the engine had not received by then never arrives.
     CutOff,
     /// The engine did not answer.
     Unknown,
 }
 
-/// An engine of the list, and where it listens.
+/// An engine on the list, and the address where it listens.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedEngine {
     pub entry: EngineEntry,
     pub address: SocketAddr,
 }
 
-/// How an execution ended, as the engine or the network told.
+/// How an execution ended, according to the engine or the network.
 #[derive(Debug)]
-pub struct Ending {
+pub struct ExecutionResult {
     pub outcome: Outcome,
-    /// Of a completed one, all pages in order.
+    /// All pages in order, if the execution completed.
     pub pages: Vec<Bytes>,
     pub consumed: Option<(Duration, f64)>,
     pub report: Option<LoadReport>,
-    /// It was sent on a connection that fell silent, and nothing shows that the engine has read it: it may do so yet.
+    /// The connection fell silent and nothing shows that the engine has read the execution: it may still start it.
     pub unread: bool,
 }
 
-impl From<Outcome> for Ending {
-    fn from(outcome: Outcome) -> Ending {
-        Ending { outcome, pages: Vec::new(), consumed: None, report: None, unread: false }
+impl From<Outcome> for ExecutionResult {
+    fn from(outcome: Outcome) -> ExecutionResult {
+        ExecutionResult { outcome, pages: Vec::new(), consumed: None, report: None, unread: false }
     }
 }
 
-/// The one final answer of a statement.
+/// The single final answer to a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Completed(Vec<Bytes>),
+    /// With the delay after which the client may retry.
     Rejected(Option<Duration>),
     Aborted,
-    /// The id is that of a statement that is still held.
+    /// The id belongs to a statement that is still held.
     InUse,
 }
 
+/// What the runtime has to carry out after a step, in this order.
 #[derive(Debug)]
 pub enum Effect {
     Answer {
         caller: u64,
         answer: Answer,
     },
+    /// Send an execution to its engine.
     Start {
         id: Id,
         execution: usize,
         engine: Id,
         address: SocketAddr,
-        parcel: Rc<Parcel>,
+        engine_request: Rc<EngineRequest>,
         mem_mb: f64,
         timeout: Duration,
-        /// After this, as the clock shows it where it is sent, the leave for it is over.
+        /// End of the budget grant that covers the execution: its first byte must not be sent after this.
         not_after: Option<Duration>,
     },
-    /// Nothing more is wanted of an execution: the engine is told, and no one listens any longer.
+    /// Drop an execution: stop reading its response and cancel it at the engine.
     Stop {
         id: Id,
         execution: usize,
@@ -168,39 +175,40 @@
         address: SocketAddr,
         cancel: Cancel,
     },
-    Tell {
+    /// Send a message about engines to one gateway, or to all.
+    Gossip {
         to: Option<u32>,
         message: GossipMessage,
     },
-    /// To be written to the record of what is out before whatever follows.
-    Record(outstanding::Write),
-    /// An engine is to be heard: whether it has read all that was sent to it before.
-    Hear {
+    /// Write to the record of outstanding executions, before the effects that follow are carried out.
+    RecordOutstanding(outstanding::Write),
+    /// Find out whether an engine has read everything that was sent to it before.
+    ProbeEngine {
         address: SocketAddr,
-        /// Of no statement.
-        name: Id,
+        /// An id that belongs to no statement.
+        probe_id: Id,
         within: Duration,
     },
-    /// To be kept before anything that rests on it is said.
-    Keep {
+    /// Store the policy's state durably; messages that depend on it wait for `Input::PolicyStored`.
+    StorePolicy {
         generation: u64,
         bytes: Vec<u8>,
     },
-    /// To another part of the fleet.
-    Say {
+    /// Send a message of the fleet's protocol.
+    SendToFleet {
         to: node::Recipient,
         envelope: Envelope,
     },
 }
 
-/// How an engine is told to end an execution.
+/// How an execution is cancelled at its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cancel {
-    /// The engine has shown that it had it.
+    /// The engine has shown that it received the execution.
     pub arrived: bool,
-    /// For how long an engine is told that does not answer.
+    /// How long the cancel is retried while the engine does not answer.
     pub within: Duration,
-    /// Something waits for the execution to be over. Until it has arrived it is asked for, not cancelled: a cancel that is read first
-    /// would hide it.
+    /// Something waits for the end of the execution. Until it has arrived, the engine is asked for it instead: a cancel that is read
+    /// first would hide whether the execution is still to come.
     pub awaited: bool,
 }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -10,9 +10,9 @@
 use crate::operators::{self, Bodies};
 use crate::peers::Peers;
 use crate::policy;
+use crate::process_pause::PauseDetector;
 use crate::record_file::{self, RecordFile};
-use crate::reducer::{Answer, Effect, Input, Part, Reducer, Text};
-use crate::standstill::Standstill;
+use crate::reducer::{Answer, Effect, FleetMembership, Input, Reducer, StatementText};
 use crate::trace::{Attempt, Trace};
 use actix_rt::net::TcpListener;
 use actix_rt::task::JoinHandle;
@@ -133,7 +133,7 @@
     pub log: Logger,
     trace: Trace,
     /// When this process stood still last.
-    pub standstill: Standstill,
+    pub standstill: PauseDetector,
     engines: Engines,
     peers: Option<Peers>,
     fleet: Option<Link>,
@@ -171,12 +171,12 @@
         if self.closed.get() {
             return true;
         }
-        self.standstill.works(Instant::now());
+        self.standstill.record_activity(Instant::now());
         let faults = self.faults.get();
         self.trace.input(&input);
         let (effects, sooner) = {
             let mut reducer = self.reducer.borrow_mut();
-            let before = reducer.due();
+            let before = reducer.next_wake();
             let step = AssertUnwindSafe(|| reducer.step(self.clock.now(), input));
             // A fault in the decisions costs one input, not the gateway: its timers and other statements go on.
             let effects = catch_unwind(step).unwrap_or_else(|fault| {
@@ -187,8 +187,8 @@
                 }
                 Vec::new()
             });
-            self.trace.refused(reducer.refused());
-            (effects, reducer.due() != before)
+            self.trace.refused(reducer.last_refusals());
+            (effects, reducer.next_wake() != before)
         };
         if sooner {
             self.due.notify_one();
@@ -206,15 +206,15 @@
     /// Returns once what came while this process stood still has been read: at once, unless it just did.
     pub async fn settled(&self) {
         let now = Instant::now();
-        self.standstill.works(now);
-        if let Some(left) = self.standstill.settles(now) {
+        self.standstill.record_activity(now);
+        if let Some(left) = self.standstill.catch_up_left(now) {
             sleep(left).await;
         }
     }
 
     /// Whether a statement whose large text begins to come would be rejected for want of room for statements.
     pub fn turns_away(&self) -> bool {
-        self.reducer.borrow_mut().turns_away()
+        self.reducer.borrow_mut().reject_at_bound()
     }
 
     /// A number for a new caller, and where its answer will be.
@@ -244,7 +244,7 @@
                     let _ = waits.send(answer);
                 }
             }
-            Effect::Start { id, execution, engine, address, parcel, mem_mb, timeout, not_after } => {
+            Effect::Start { id, execution, engine, address, engine_request, mem_mb, timeout, not_after } => {
                 let core = self.clone();
                 let list_age = self.list_heard.get().elapsed();
                 let (of, to) = (&id, &engine);
@@ -262,30 +262,31 @@
                     let may = || {
                         let now = core.clock.now();
                         let due = not_after.is_none_or(|end| now <= end);
-                        let lapsed = core.reducer.borrow().lapsed(now, &id, execution);
+                        let lapsed = core.reducer.borrow().recheck(now, &id, execution);
                         core.trace.goes_out(&id, execution, lapsed, core.list_heard.get().elapsed());
                         let goes = due && lapsed.is_none();
                         if goes {
-                            core.reducer.borrow_mut().goes_out(now, &id, execution);
+                            core.reducer.borrow_mut().check_send(now, &id, execution);
                         }
                         goes
                     };
-                    let arrives = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
+                    let arrives =
+                        || core.reducer.borrow().may_complete_send(core.clock.now(), &id, execution);
                     let may = May { begin: &may, arrive: &arrives };
-                    let job = Job { address, parcel: &parcel, mem_mb, until, may };
+                    let job = Job { address, engine_request: &engine_request, mem_mb, until, may };
                     let heard = |heard| {
                         let id = id.clone();
                         core.input(match heard {
-                            Heard::Arrived => Input::Arrived { id, execution },
-                            Heard::Note(note) => Input::Noted { id, execution, note },
+                            Heard::Arrived => Input::ExecutionArrived { id, execution },
+                            Heard::Note(note) => Input::ExecutionNoted { id, execution, note },
                         });
                     };
-                    let ending = core.engines.run(job, heard).await;
+                    let result = core.engines.run(job, heard).await;
                     core.running.borrow_mut().remove(&(id.clone(), execution));
-                    if matches!(&parcel.text, Text::Body(body) if !body.is_kept()) {
-                        core.input(Input::Unkept(id.clone()));
+                    if matches!(&engine_request.text, StatementText::Stored(body) if !body.is_kept()) {
+                        core.input(Input::BodyLost(id.clone()));
                     }
-                    core.input(Input::Ended { id, execution, ending });
+                    core.input(Input::ExecutionEnded { id, execution, result });
                 });
                 self.running.borrow_mut().insert(key, task);
             }
@@ -298,36 +299,36 @@
                 let key = (id.clone(), engine);
                 let own = key.clone();
                 let task = actix_rt::spawn(async move {
-                    let after = core.engines.stop(address, &id, cancel).await;
+                    let outcome = core.engines.stop(address, &id, cancel).await;
                     core.stopping.borrow_mut().remove(&own);
-                    core.input(Input::Stopped { id, execution, after });
+                    core.input(Input::CancelFinished { id, execution, outcome });
                 });
                 self.stopping.borrow_mut().insert(key, task);
             }
-            Effect::Record(write) => {
+            Effect::RecordOutstanding(write) => {
                 self.record.iter().for_each(|record| record.write(&write, &self.log));
             }
-            Effect::Hear { address, name, within } => {
+            Effect::ProbeEngine { address, probe_id, within } => {
                 let core = self.clone();
                 actix_rt::spawn(async move {
-                    let has_read = core.engines.hear(address, &name, within).await;
-                    core.input(Input::EngineHeard { has_read });
+                    let has_read = core.engines.hear(address, &probe_id, within).await;
+                    core.input(Input::EngineProbed { has_read });
                 });
             }
-            Effect::Keep { generation, bytes } => {
+            Effect::StorePolicy { generation, bytes } => {
                 let known = self.policy.as_ref().map_or(Some(true), |disk| disk.keep(generation, bytes));
-                if let Some(well) = known {
+                if let Some(succeeded) = known {
                     // Not within what asked for it: its own effects come first.
                     let core = self.clone();
-                    actix_rt::spawn(async move { core.input(Input::Kept { generation, well }) });
+                    actix_rt::spawn(async move { core.input(Input::PolicyStored { generation, succeeded }) });
                 }
             }
-            Effect::Say { to, envelope } => {
+            Effect::SendToFleet { to, envelope } => {
                 if let Some(link) = &self.fleet {
                     link.say(&to, &envelope);
                 }
             }
-            Effect::Tell { to, message } => {
+            Effect::Gossip { to, message } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &message);
                 }
@@ -337,7 +338,7 @@
 
     async fn keep_time(self: Rc<Self>) {
         loop {
-            let due = self.reducer.borrow().due();
+            let due = self.reducer.borrow().next_wake();
             let due = due.map(|at| self.clock.instant(at));
             tokio::select! {
                 _ = self.due.notified() => {}
@@ -351,14 +352,14 @@
     async fn hear_peers(self: Rc<Self>) {
         while let Some(peers) = &self.peers {
             let event = peers.hear().await;
-            self.input(Input::Told(event));
+            self.input(Input::PeerEvent(event));
         }
     }
 
     async fn hear_fleet(self: Rc<Self>) {
         while let Some(link) = &self.fleet {
             let (envelope, from) = link.hear().await;
-            self.input(Input::Fleet(envelope, from));
+            self.input(Input::FleetMessage(envelope, from));
         }
     }
 
@@ -381,7 +382,7 @@
                     let Turn { names, known } = self.turned.take();
                     if let Some(names) = names {
                         asker.turn_to(names);
-                        self.input(names.map_or(Input::ListStays, |_| Input::ListAsked(None)));
+                        self.input(names.map_or(Input::ListPollingStopped, |_| Input::ListPolled(None)));
                     }
                     match known.filter(|known| asker.told(known.no)) {
                         // A file may be older than what it holds: it confirms nothing.
@@ -392,20 +393,20 @@
                 word = asker.change() => match word {
                     Word::List(known, asked) => (known, Some(asked)),
                     Word::Same(asked) => {
-                        self.input(Input::ListAsked(Some(self.clock.at(asked))));
+                        self.input(Input::ListPolled(Some(self.clock.at(asked))));
                         continue;
                     }
                     Word::Disputed(known) => {
-                        self.input(Input::ListDisputed(known.list));
+                        self.input(Input::ListConflict(known.list));
                         continue;
                     }
                     Word::Nothing => {
-                        self.input(Input::ListAsked(None));
+                        self.input(Input::ListPolled(None));
                         continue;
                     }
                     Word::Silent => {
-                        self.input(Input::ListAsked(None));
-                        self.input(Input::Engines(ListKind::Failed, Vec::new()));
+                        self.input(Input::ListPolled(None));
+                        self.input(Input::EngineList(ListKind::Failed, Vec::new()));
                         continue;
                     }
                 },
@@ -430,8 +431,8 @@
                 .for_each(|id| self.trace.listed(id, "Gone", None));
             before = now;
             // Confirmed is what was taken in, and nothing else.
-            match (self.take_in(Input::Engines(ListKind::Snapshot, known.list)), asked) {
-                (true, Some(asked)) => self.input(Input::ListAsked(Some(self.clock.at(asked)))),
+            match (self.take_in(Input::EngineList(ListKind::Snapshot, known.list)), asked) {
+                (true, Some(asked)) => self.input(Input::ListPolled(Some(self.clock.at(asked)))),
                 (true, None) => {}
                 (false, _) => asker.not_taken(),
             }
@@ -440,11 +441,11 @@
 
     fn log_figures(&self, clients: &Connections) {
         let mut reducer = self.reducer.borrow_mut();
-        let ill = reducer.take_ill();
-        let mut broken = reducer.broken.clone();
-        broken.add(Invariant::ClosesAnswered, clients.closes.unanswered());
+        let engine_failures = reducer.take_engine_failures();
+        let mut violations = reducer.violations.clone();
+        violations.add(Invariant::ClosesAnswered, clients.closes.unanswered());
         slog::info!(self.log, "figures"; "counts" => ?reducer.counts, "held" => reducer.held(),
-            "open" => reducer.open(), "ill" => ?ill, "bad_calls" => ?self.bad_calls.borrow(),
+            "open" => reducer.open(), "ill" => ?engine_failures, "bad_calls" => ?self.bad_calls.borrow(),
             "refusals" => ?reducer.refusals, "closed" => ?clients.closes.counts(), "closed_to_engines" => ?self.engines.closes().counts(),
             "asked_again" => self.engines.asked_again(), "names_passed_over" => self.names_passed_over.get(),
             "list_age_ms" => self.list_heard.get().elapsed().as_millis() as u64,
@@ -452,7 +453,7 @@
             "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.spooled_bytes(),
             "bodies_fault" => self.bodies.take_last_error(),
             "connections" => self.engines.connections(), "faults" => self.faults.get(),
-            "broken" => ?broken.counts().filter(|(_, n)| *n > 0).collect::<Vec<_>>());
+            "broken" => ?violations.counts().filter(|(_, n)| *n > 0).collect::<Vec<_>>());
     }
 }
 
@@ -541,13 +542,13 @@
             let kept = record_path.as_deref().map(|path| record_file::read(path, &start, &log));
             let (predecessor, slots) =
                 kept.map_or((Predecessor::Unknown, None), |(p, slots)| (p, Some(slots)));
-            Part { start, predecessor, slots }
+            FleetMembership { start, predecessor, slots }
         });
         let (reducer, first) =
-            Reducer::start_in(part, of_policy, start.site, start.seed, start.bounds.stmts, clock.now());
+            Reducer::start_in_fleet(part, of_policy, start.site, start.seed, start.bounds.stmts, clock.now());
         let record = record_path.and_then(|path| {
             let writes = first.iter().filter_map(|effect| match effect {
-                Effect::Record(write) => Some(write.clone()),
+                Effect::RecordOutstanding(write) => Some(write.clone()),
                 _ => None,
             });
             let writes: Vec<_> = writes.collect();
@@ -572,7 +573,7 @@
             stay_away,
             bodies,
             trace: Trace::new(&log),
-            standstill: Standstill::new(Instant::now()),
+            standstill: PauseDetector::new(Instant::now()),
             log,
             engines,
             peers,
@@ -593,10 +594,10 @@
             closed: Cell::new(false),
         });
         first.into_iter().for_each(|effect| core.carry_out(effect));
-        core.input(Input::Engines(ListKind::Cached, start.known.list));
+        core.input(Input::EngineList(ListKind::Cached, start.known.list));
         if start.names.is_some() {
             // What the configuration holds was told with it.
-            core.input(Input::ListAsked(Some(core.clock.now())));
+            core.input(Input::ListPolled(Some(core.clock.now())));
         }
         let front = Front::new(&core.bounds);
         slog::info!(core.log, "serving"; "name" => start.name, "listen" => %address,
@@ -610,12 +611,12 @@
         if let Some(mut kept) = kept {
             let core = core.clone();
             tasks.push(actix_rt::spawn(async move {
-                while let Some((generation, well)) = kept.recv().await {
-                    core.input(Input::Kept { generation, well });
+                while let Some((generation, succeeded)) = kept.recv().await {
+                    core.input(Input::PolicyStored { generation, succeeded });
                 }
             }));
         }
-        core.reducer.borrow_mut().serves();
+        core.reducer.borrow_mut().check_serving();
         let (accepting, log) = (front.clone().accept(listener, core.clone()), core.log.clone());
         tasks.push(actix_rt::spawn(async move {
             if let Err(error) = accepting.await {
@@ -695,8 +696,8 @@
     pub async fn shut_down(self) {
         // Told while this process stood still, it may have been told when that began.
         let now = Instant::now();
-        self.core.standstill.works(now);
-        let waited = self.core.standstill.waited(now);
+        self.core.standstill.record_activity(now);
+        let waited = self.core.standstill.queueing_delay(now);
         let began = now.checked_sub(waited).unwrap_or(now);
         slog::info!(self.core.log, "closing"; "waited_ms" => waited.as_millis() as u64);
         let within = LEAVE_AT_LEAST.max(self.leave_within + LEAVE_SLACK);
@@ -716,7 +717,7 @@
         }
         // Said more than once, as it may be lost: else what this gateway had is free only once its leave has ended.
         for _ in 0..3 {
-            self.core.input(Input::Depart);
+            self.core.input(Input::LeaveFleet);
         }
         self.front.connections.part_from_all();
         let parted = Instant::now();
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -66,7 +66,7 @@
         let session = self.by_path.borrow_mut().remove(path);
         if let Some(session) = &session {
             if session.answer.borrow().is_none() {
-                core.input(Input::Left(session.id.clone()));
+                core.input(Input::ClientDisconnected(session.id.clone()));
             }
         }
         session.is_some()
@@ -111,10 +111,10 @@
                 let alone = session.alone();
                 if alone >= LEFT {
                     // Its answer comes at once, by the same way.
-                    core.input(Input::Left(id.clone()));
+                    core.input(Input::ClientDisconnected(id.clone()));
                 } else if absent != (alone >= ABSENT) {
                     absent = !absent;
-                    core.input(Input::Absent(id.clone(), absent));
+                    core.input(Input::ClientAway(id.clone(), absent));
                 }
             }
             while session.alone() < LEFT {
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -1,7 +1,7 @@
 //! What happens to each statement, by its id, for whoever follows one through the log: written at the level `debug` only, and not
 //! even put together above it.
 
-use crate::reducer::{Answer, Ending, Input};
+use crate::reducer::{Answer, ExecutionResult, Input};
 use bramblewharf::interface::Id;
 use bramblewharf::scheduler::{Refusal, Rule};
 use slog::{Drain as _, Logger};
@@ -37,29 +37,29 @@
             return;
         }
         match input {
-            Input::Statement(taken) => {
-                slog::debug!(self.log, "statement taken"; "id" => &*taken.said.id, "caller" => taken.caller,
-                    "workload" => taken.said.workload, "deadline_ms" => taken.said.time_left.as_millis() as u64);
+            Input::Statement(submitted) => {
+                slog::debug!(self.log, "statement taken"; "id" => &*submitted.statement.id, "caller" => submitted.caller,
+                    "workload" => submitted.statement.workload, "deadline_ms" => submitted.statement.time_left.as_millis() as u64);
             }
-            Input::Left(id) => slog::debug!(self.log, "client left"; "id" => &**id),
-            Input::Absent(id, absent) => {
+            Input::ClientDisconnected(id) => slog::debug!(self.log, "client left"; "id" => &**id),
+            Input::ClientAway(id, absent) => {
                 slog::debug!(self.log, "client between calls"; "id" => &**id, "absent" => absent);
             }
-            Input::Ended { id, execution, ending } => self.ended(id, *execution, ending),
-            Input::Arrived { id, execution } => {
+            Input::ExecutionEnded { id, execution, result } => self.ended(id, *execution, result),
+            Input::ExecutionArrived { id, execution } => {
                 slog::debug!(self.log, "attempt arrived"; "id" => &**id, "execution" => execution);
             }
-            Input::Stopped { id, execution, after } => {
+            Input::CancelFinished { id, execution, outcome } => {
                 slog::debug!(self.log, "attempt given up, engine told"; "id" => &**id, "execution" => execution,
-                    "after" => ?after);
+                    "after" => ?outcome);
             }
             _ => {}
         }
     }
 
-    fn ended(&self, id: &Id, execution: usize, ending: &Ending) {
+    fn ended(&self, id: &Id, execution: usize, result: &ExecutionResult) {
         slog::debug!(self.log, "attempt ended"; "id" => &**id, "execution" => execution,
-            "outcome" => ?ending.outcome, "pages" => ending.pages.len());
+            "outcome" => ?result.outcome, "pages" => result.pages.len());
     }
 
     /// An attempt that the decisions have begun; no byte of it has gone out yet.
--- a/crates/gateway/tests/reducer.rs
+++ b/crates/gateway/tests/reducer.rs
@@ -5,7 +5,7 @@
 use bramblewharf_fleet::outstanding::{Outstanding, ProcessRun, Record, Slots};
 use bramblewharf_fleet::predecessor::Predecessor;
 use bramblewharf_fleet::{node, FleetConfig, Incarnation};
-use bramblewharf_gateway::invariants::{Broken, Invariant};
+use bramblewharf_gateway::invariants::{Invariant, Violations};
 use bramblewharf_gateway::reducer::*;
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck, TestResult};
@@ -37,14 +37,14 @@
 
 fn reducer_in(fleet: Option<node::Start>, second_copies: bool, most: usize) -> Reducer {
     let (site, _) = bramblewharf_site::read(&settings(second_copies)).unwrap();
-    let (mut reducer, first) = Reducer::start_in(fleet, None, site, 7, most, START);
+    let (mut reducer, first) = Reducer::start_in_fleet(fleet, None, site, 7, most, START);
     assert!(first.is_empty());
     let list = vec![listed("a"), listed("b")];
-    assert_eq!(sent(&reducer.step(START, Input::Engines(ListKind::Cached, list))), 0);
+    assert_eq!(sent(&reducer.step(START, Input::EngineList(ListKind::Cached, list))), 0);
     reducer
 }
 
-fn listed(id: &str) -> Listed {
+fn listed(id: &str) -> ListedEngine {
     let entry = EngineEntry {
         id: id.into(),
         zone: "z".into(),
@@ -54,11 +54,11 @@
         nominal: 1.0,
         started: Duration::ZERO,
     };
-    Listed { entry, address: "127.0.0.1:9".parse().unwrap() }
+    ListedEngine { entry, address: "127.0.0.1:9".parse().unwrap() }
 }
 
 fn statement(id: &str, caller: u64, workload: usize, left: u64) -> Input {
-    let said = NewStatement {
+    let statement = NewStatement {
         id: id.into(),
         workload,
         customer: None,
@@ -69,17 +69,17 @@
         table_group: None,
         replayable: true,
     };
-    let parcel = Parcel {
+    let engine_request = EngineRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
         workload: Bytes::from_static(b"w"),
         key: None,
-        text: Text::Whole(Bytes::from_static(b"SELECT 1")),
+        text: StatementText::Inline(Bytes::from_static(b"SELECT 1")),
     };
-    Input::Statement(Taken { caller, said, parcel })
+    Input::Statement(SubmittedStatement { caller, statement, engine_request })
 }
 
 fn ended(id: &str, execution: usize, outcome: Outcome) -> Input {
-    Input::Ended { id: id.into(), execution, ending: outcome.into() }
+    Input::ExecutionEnded { id: id.into(), execution, result: outcome.into() }
 }
 
 fn engine_of(effects: &[Effect]) -> String {
@@ -103,11 +103,11 @@
     let at = START + ms(10);
     engine_of(&r.step(at, statement("s", 4, 0, 1000)));
     let page = Bytes::from_static(b"1\n");
-    let ending = Ending { pages: vec![page.clone()], ..Outcome::Completed.into() };
-    let done = r.step(at + ms(30), Input::Ended { id: "s".into(), execution: 0, ending });
+    let result = ExecutionResult { pages: vec![page.clone()], ..Outcome::Completed.into() };
+    let done = r.step(at + ms(30), Input::ExecutionEnded { id: "s".into(), execution: 0, result });
     assert_eq!(answers(done), vec![(4, Answer::Completed(vec![page]))]);
     assert!(r.step(at + ms(31), ended("s", 0, Outcome::Error)).is_empty());
-    assert!(r.step(at + ms(32), Input::Left("s".into())).is_empty());
+    assert!(r.step(at + ms(32), Input::ClientDisconnected("s".into())).is_empty());
     assert!(r.step(at + ms(5000), Input::Wake).is_empty());
     assert_eq!((r.held(), r.open(), r.counts.too_late, r.counts.left), (0, 0, 1, 0));
 }
@@ -136,7 +136,7 @@
 fn a_client_that_leaves_ends_the_work() {
     let mut r = reducer(true, 9);
     engine_of(&r.step(START, statement("s", 1, 0, 1000)));
-    let effects = r.step(START + ms(5), Input::Left("s".into()));
+    let effects = r.step(START + ms(5), Input::ClientDisconnected("s".into()));
     assert!(effects.iter().any(|e| matches!(e, Effect::Stop { execution: 0, .. })), "{effects:?}");
     assert_eq!(answers(effects), vec![(1, Answer::Aborted)]);
     assert_eq!((r.held(), r.counts.left), (0, 1));
@@ -160,7 +160,7 @@
     let mut late = answers(r.step(START + ms(4000), Input::Wake));
     late.sort_by_key(|(caller, _)| *caller);
     assert!(matches!(late[..], [(1, Answer::Rejected(_)), (2, Answer::Aborted)]), "{late:?}");
-    assert!(r.broken.counts().all(|(_, n)| n == 0));
+    assert!(r.violations.counts().all(|(_, n)| n == 0));
     assert_eq!(r.held(), 0);
 }
 
@@ -172,7 +172,7 @@
         engine_of(&r.step(START, statement("s", 1, workload, 300)));
         let (mut at, mut answered) = (START, Vec::new());
         while answered.is_empty() {
-            at = r.due().expect("something is due");
+            at = r.next_wake().expect("something is due");
             answered = answers(r.step(at, Input::Wake));
         }
         assert!(at <= START + ms(300) - ms(4), "{:?}", at - START);
@@ -190,7 +190,7 @@
             |effects: &[Effect]| effects.iter().any(|e| matches!(e, Effect::Start { execution: 1, .. }));
         let mut timed_out = Vec::new();
         while timed_out.is_empty() {
-            let at = r.due().expect("a time-out is due");
+            let at = r.next_wake().expect("a time-out is due");
             assert!(at <= START + *timeout);
             timed_out = r.step(at, Input::Wake);
         }
@@ -198,7 +198,7 @@
         assert_eq!(again(&timed_out), second_copies, "{timed_out:?}");
         let told = r.step(
             START + *timeout + ms(1),
-            Input::Stopped { id: "s".into(), execution: 0, after: AfterCancel::Over },
+            Input::CancelFinished { id: "s".into(), execution: 0, outcome: CancelOutcome::Over },
         );
         assert_eq!(again(&told), !second_copies, "{told:?}");
     }
@@ -224,10 +224,10 @@
 fn while_the_list_is_silent_what_looks_gone_is_left_alone() {
     for silent in [false, true] {
         let mut r = reducer(true, 9);
-        let list = || Input::Engines(ListKind::Snapshot, vec![listed("a"), listed("b"), listed("c")]);
+        let list = || Input::EngineList(ListKind::Snapshot, vec![listed("a"), listed("b"), listed("c")]);
         r.step(START, list());
         if silent {
-            r.step(START, Input::Engines(ListKind::Failed, Vec::new()));
+            r.step(START, Input::EngineList(ListKind::Failed, Vec::new()));
         }
         // Engine `a` refuses, the others complete; a statement each 50 ms for 10 s.
         let (mut last, mut now) = (START, START);
@@ -289,7 +289,7 @@
         let (mut now, mut seen) = (START, Seen::default());
         for (what, which, wait) in steps.into_iter().chain((0..4000).map(|_| (9, 0, 1000))) {
             let next = now + ms(u64::from(wait % 1001));
-            now = r.due().map_or(next, |due| due.min(next)).max(now);
+            now = r.next_wake().map_or(next, |due| due.min(next)).max(now);
             let id: Id = format!("s{}", which % 4).into();
             let execution = usize::from(which / 4 % 3);
             let input = match what % 10 {
@@ -298,9 +298,9 @@
                     seen.until.insert(seen.callers, now + ms(u64::from(wait)));
                     statement(&id, seen.callers, usize::from(workload), u64::from(wait))
                 }
-                2 => Input::Left(id.clone()),
-                3 => Input::Noted { id: id.clone(), execution, note: Note::Progress(0.5) },
-                4 => Input::Stopped { id: id.clone(), execution, after: AfterCancel::Over },
+                2 => Input::ClientDisconnected(id.clone()),
+                3 => Input::ExecutionNoted { id: id.clone(), execution, note: Note::Progress(0.5) },
+                4 => Input::CancelFinished { id: id.clone(), execution, outcome: CancelOutcome::Over },
                 5..=8 => {
                     let all =
                         [Outcome::Completed, Outcome::Error, Outcome::Full, Outcome::Refused, Outcome::Reset];
@@ -319,8 +319,8 @@
             }
         }
         let kept = r.held() + r.open() + seen.until.len();
-        let broken = r.broken.counts().any(|(_, n)| n > 0);
-        TestResult::from_bool(kept == 0 && !broken && r.counts.executions == seen.started.len() as u64)
+        let violated = r.violations.counts().any(|(_, n)| n > 0);
+        TestResult::from_bool(kept == 0 && !violated && r.counts.executions == seen.started.len() as u64)
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(120, 11)).tests(200);
     check.quickcheck(holds as fn(Vec<(u8, u8, u16)>, bool) -> TestResult);
@@ -328,9 +328,9 @@
 
 #[test]
 fn invariants_are_asserted_in_debug_builds() {
-    let mut broken = Broken::default();
-    assert!(broken.check(Invariant::OneAnswer, true));
-    let found = std::panic::catch_unwind(move || broken.check(Invariant::OneAnswer, false));
+    let mut violations = Violations::default();
+    assert!(violations.check(Invariant::OneAnswer, true));
+    let found = std::panic::catch_unwind(move || violations.check(Invariant::OneAnswer, false));
     assert_eq!(found.is_err(), cfg!(debug_assertions));
 }
 
@@ -364,13 +364,13 @@
     assert!(r.step(at + ms(10_000), Input::Wake).is_empty());
     let mut answered = Vec::new();
     let mut stopped = 0;
-    while let Some(due) = r.due().filter(|due| *due < at + ms(21_000)) {
+    while let Some(due) = r.next_wake().filter(|due| *due < at + ms(21_000)) {
         let effects = r.step(due, Input::Wake);
         stopped += effects.iter().filter(|e| matches!(e, Effect::Stop { .. })).count();
         answered.extend(answers(effects));
     }
     assert!(stopped >= 1 && answered.len() == 1, "{stopped} {answered:?}");
-    assert!(r.broken.counts().all(|(_, n)| n == 0));
+    assert!(r.violations.counts().all(|(_, n)| n == 0));
 }
 
 /// On engines that answer within a millisecond some tens of them are no silence, and neither is the gateway's own pause.
@@ -380,7 +380,7 @@
     let mut at = START;
     let beats = |r: &mut Reducer, until: Duration| {
         let mut effects = Vec::new();
-        while let Some(due) = r.due().filter(|due| *due <= until) {
+        while let Some(due) = r.next_wake().filter(|due| *due <= until) {
             effects.extend(r.step(due, Input::Wake));
         }
         effects
@@ -436,10 +436,10 @@
     let mut effects = Vec::new();
     let mut now = from;
     while now < to {
-        now = r.due().map_or(to, |due| due.max(now + ms(1))).min(to);
+        now = r.next_wake().map_or(to, |due| due.max(now + ms(1))).min(to);
         effects.extend(r.step(now, Input::Wake));
     }
-    effects.retain(|effect| !matches!(effect, Effect::Say { .. }));
+    effects.retain(|effect| !matches!(effect, Effect::SendToFleet { .. }));
     effects
 }
 
@@ -499,13 +499,13 @@
 /// What the engine answers to the cancel says for how long a part is in use yet.
 #[test]
 fn what_was_given_up_is_in_use_until_its_engine_has_answered() {
-    for (after, free_after) in [
-        (AfterCancel::Over, Some(ms(0))),
+    for (outcome, free_after) in [
+        (CancelOutcome::Over, Some(ms(0))),
         // Its process is gone, or something refuses in its place: what had begun ends unasked.
-        (AfterCancel::Gone, Some(KEEP + ms(220))),
-        (AfterCancel::CutOff, Some(KEEP + ms(220))),
-        (AfterCancel::Unread, None),
-        (AfterCancel::Unknown, None),
+        (CancelOutcome::Gone, Some(KEEP + ms(220))),
+        (CancelOutcome::CutOff, Some(KEEP + ms(220))),
+        (CancelOutcome::Unread, None),
+        (CancelOutcome::Unknown, None),
     ] {
         let mut r = reducer_in(Some(alone(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
         let from = START + ms(1000);
@@ -514,19 +514,19 @@
         goes_on(&mut r, from, from + ms(420));
         let told = from + ms(450);
         goes_on(&mut r, from + ms(420), told);
-        r.step(told, Input::Stopped { id: "s".into(), execution: 0, after });
+        r.step(told, Input::CancelFinished { id: "s".into(), execution: 0, outcome });
         let next = |r: &mut Reducer, at: Duration, id: &str| sent(&r.step(at, statement(id, 2, 0, 900)));
         match free_after {
             Some(span) => {
                 if !span.is_zero() {
-                    assert_eq!(next(&mut r, told + ms(1), "t"), 0, "{after:?}");
+                    assert_eq!(next(&mut r, told + ms(1), "t"), 0, "{outcome:?}");
                     goes_on(&mut r, told + ms(1), told + span);
                 }
-                assert_eq!(next(&mut r, told + span, "u"), 1, "{after:?}");
+                assert_eq!(next(&mut r, told + span, "u"), 1, "{outcome:?}");
             }
             None => {
                 goes_on(&mut r, told, told + ms(2000));
-                assert_eq!(next(&mut r, told + ms(2000), "u"), 0, "{after:?}");
+                assert_eq!(next(&mut r, told + ms(2000), "u"), 0, "{outcome:?}");
             }
         }
     }
@@ -539,33 +539,36 @@
     let from = START + ms(1000);
     goes_on(&mut r, START, from);
     assert_eq!(sent(&r.step(from, statement("s", 1, 1, 900))), 1);
-    let ending = Ending { unread: true, ..Outcome::Reset.into() };
-    let effects = r.step(from + ms(310), Input::Ended { id: "s".into(), execution: 0, ending });
+    let result = ExecutionResult { unread: true, ..Outcome::Reset.into() };
+    let effects = r.step(from + ms(310), Input::ExecutionEnded { id: "s".into(), execution: 0, result });
     let cancels = effects.iter().filter(|e| matches!(e, Effect::Stop { cancel, .. } if !cancel.arrived));
     assert_eq!(cancels.count(), 1, "{effects:?}");
     goes_on(&mut r, from + ms(310), from + ms(1500));
     assert_eq!(sent(&r.step(from + ms(1500), statement("t", 2, 0, 900))), 0);
-    r.step(from + ms(1501), Input::Stopped { id: "s".into(), execution: 0, after: AfterCancel::Over });
+    r.step(
+        from + ms(1501),
+        Input::CancelFinished { id: "s".into(), execution: 0, outcome: CancelOutcome::Over },
+    );
     assert_eq!(sent(&r.step(from + ms(1502), statement("u", 3, 0, 900))), 1);
 }
 
 /// Where one attempt may be out at a time, the next waits for the engine to show that the one before is over.
 #[test]
 fn the_next_attempt_waits_for_what_may_be_unread() {
-    for (after, again) in [
-        (AfterCancel::Over, true),
-        (AfterCancel::Gone, true),
-        (AfterCancel::CutOff, true),
-        (AfterCancel::Unread, false),
-        (AfterCancel::Unknown, false),
+    for (outcome, again) in [
+        (CancelOutcome::Over, true),
+        (CancelOutcome::Gone, true),
+        (CancelOutcome::CutOff, true),
+        (CancelOutcome::Unread, false),
+        (CancelOutcome::Unknown, false),
     ] {
         let mut r = reducer(false, 9);
         let first = r.step(START, statement("s", 1, 0, 60_000));
         let Some(Effect::Start { timeout, .. }) = first.first() else { panic!("{first:?}") };
         let over = START + *timeout + ms(1);
         r.step(over, Input::Wake);
-        let told = r.step(over + ms(9), Input::Stopped { id: "s".into(), execution: 0, after });
-        assert_eq!(sent(&told) == 1, again, "{after:?}: {told:?}");
+        let told = r.step(over + ms(9), Input::CancelFinished { id: "s".into(), execution: 0, outcome });
+        assert_eq!(sent(&told) == 1, again, "{outcome:?}: {told:?}");
     }
 }
 
@@ -597,7 +600,7 @@
 
 fn of_another_text(id: &str, caller: u64) -> Input {
     let Input::Statement(mut taken) = statement(id, caller, 0, 900) else { panic!("a statement") };
-    taken.parcel.text = Text::Whole("SELECT another".into());
+    taken.engine_request.text = StatementText::Inline("SELECT another".into());
     Input::Statement(taken)
 }
 
@@ -634,13 +637,13 @@
 fn after_a_kill(predecessor: Predecessor, whole: u64) -> (Reducer, Vec<Effect>) {
     let start = alone(Scope::default(), Measure::StatementsAtOnce, whole);
     let slots = Some(Slots::start(start.incarnation, start.table_digest, 0, None));
-    let part = Part { start, predecessor, slots };
+    let part = FleetMembership { start, predecessor, slots };
     let (site, _) = bramblewharf_site::read(&settings(true)).unwrap();
-    let (mut reducer, mut effects) = Reducer::start_in(Some(part), None, site, 7, 99, START);
+    let (mut reducer, mut effects) = Reducer::start_in_fleet(Some(part), None, site, 7, 99, START);
     let mut list = vec![listed("a"), listed("b")];
     let port = list[0].address.port() + 1;
     list[1].address.set_port(port);
-    effects.extend(reducer.step(START, Input::Engines(ListKind::Cached, list)));
+    effects.extend(reducer.step(START, Input::EngineList(ListKind::Cached, list)));
     (reducer, effects)
 }
 
@@ -660,33 +663,33 @@
 /// Guards against what a killed process sent being taken for over before its engine has shown that.
 #[test]
 fn what_a_process_before_had_out_is_in_use_until_its_engine_answers() {
-    for (after, is_free) in [
-        (AfterCancel::Over, true),
-        (AfterCancel::Unread, false),
-        (AfterCancel::Unknown, false),
+    for (outcome, is_free) in [
+        (CancelOutcome::Over, true),
+        (CancelOutcome::Unread, false),
+        (CancelOutcome::Unknown, false),
         // Its connection was not reset: what was on its way may yet arrive.
-        (AfterCancel::CutOff, false),
+        (CancelOutcome::CutOff, false),
     ] {
         let (mut r, effects) = after_a_kill(recorded("old"), 2);
         let asked = |effect: &&Effect| matches!(effect, Effect::Stop { id, cancel, .. } if &**id == "old" && cancel.awaited);
         assert_eq!(effects.iter().filter(asked).count(), 1);
         // Engines have been heard, which is no word of that execution: the floor is there, less what it takes.
         let effects = goes_on(&mut r, START, START + ms(500));
-        let heard = effects.iter().filter(|effect| matches!(effect, Effect::Hear { .. })).count();
+        let heard = effects.iter().filter(|effect| matches!(effect, Effect::ProbeEngine { .. })).count();
         assert_eq!(heard, 2, "{effects:?}");
         goes_on(&mut r, START + ms(500), START + ms(900));
-        (0..heard).for_each(|_| drop(r.step(START + ms(900), Input::EngineHeard { has_read: true })));
+        (0..heard).for_each(|_| drop(r.step(START + ms(900), Input::EngineProbed { has_read: true })));
         goes_on(&mut r, START + ms(900), START + ms(1500));
         let from = START + ms(1500);
         assert_eq!(sent(&r.step(from, statement("s", 1, 0, 900))), 1);
         assert_eq!(sent(&r.step(from, statement("t", 2, 0, 900))), 0);
-        r.step(from + ms(1), Input::Stopped { id: "old".into(), execution: 0, after });
-        assert_eq!(sent(&r.step(from + ms(2), statement("u", 3, 0, 900))) == 1, is_free, "{after:?}");
+        r.step(from + ms(1), Input::CancelFinished { id: "old".into(), execution: 0, outcome });
+        assert_eq!(sent(&r.step(from + ms(2), statement("u", 3, 0, 900))) == 1, is_free, "{outcome:?}");
         if !is_free {
             // Not for longer than an engine may begin it and run it.
             r.step(from + ms(10), completed("s"));
             goes_on(&mut r, from + ms(10), START + ms(4000));
-            assert_eq!(r.fleet().unwrap().figures(START + ms(4000))[0].in_use, 0, "{after:?}");
+            assert_eq!(r.fleet().unwrap().figures(START + ms(4000))[0].in_use, 0, "{outcome:?}");
         }
     }
 }
@@ -698,12 +701,12 @@
     for silent in [false, true] {
         let (mut r, _) = after_a_kill(Predecessor::Unknown, 2);
         let effects = goes_on(&mut r, START, START + ms(100));
-        assert_eq!(effects.iter().filter(|effect| matches!(effect, Effect::Hear { .. })).count(), 2);
+        assert_eq!(effects.iter().filter(|effect| matches!(effect, Effect::ProbeEngine { .. })).count(), 2);
         goes_on(&mut r, START + ms(100), START + ms(600));
-        r.step(START + ms(600), Input::EngineHeard { has_read: true });
+        r.step(START + ms(600), Input::EngineProbed { has_read: true });
         goes_on(&mut r, START + ms(600), START + ms(1800));
         assert_eq!(next(&mut r, START + ms(1800), "s"), 0, "one has yet to answer");
-        r.step(START + ms(1800), Input::EngineHeard { has_read: !silent });
+        r.step(START + ms(1800), Input::EngineProbed { has_read: !silent });
         goes_on(&mut r, START + ms(1800), START + ms(1900));
         assert_eq!(next(&mut r, START + ms(1900), "t"), 0, "engines go on for a while");
         goes_on(&mut r, START + ms(1900), START + ms(2400));
@@ -722,15 +725,17 @@
     let from = START + ms(1000);
     let early = goes_on(&mut r, START, from);
     assert!(
-        early.iter().any(|effect| matches!(effect, Effect::Record(write) if write.offset == 0)),
+        early.iter().any(|effect| matches!(effect, Effect::RecordOutstanding(write) if write.offset == 0)),
         "complete"
     );
     let effects = r.step(from, statement("s", 1, 0, 900));
-    let [Effect::Record(added), Effect::Start { .. }] = &effects[..] else { panic!("{effects:?}") };
+    let [Effect::RecordOutstanding(added), Effect::Start { .. }] = &effects[..] else {
+        panic!("{effects:?}")
+    };
     assert!(added.bytes.iter().any(|byte| *byte != 0));
     let effects = r.step(from + ms(5), completed("s"));
     let removed = effects.iter().find_map(|effect| match effect {
-        Effect::Record(write) => Some(write),
+        Effect::RecordOutstanding(write) => Some(write),
         _ => None,
     });
     let removed = removed.expect("it is over");
--- a/crates/rig/src/scale/decide.rs
+++ b/crates/rig/src/scale/decide.rs
@@ -14,7 +14,8 @@
     LoadReport, NewStatement, Observation, Outcome, Site, SlowStart, WorkloadConfig,
 };
 use bramblewharf_gateway::reducer::{
-    AfterCancel, Answer, Effect, Ending, Input, Listed, Parcel, Reducer, Taken, Text,
+    Answer, CancelOutcome, Effect, EngineRequest, ExecutionResult, Input, ListedEngine, Reducer,
+    StatementText, SubmittedStatement,
 };
 use bramblewharf_turns::EngineHash;
 use bytes::Bytes;
@@ -258,17 +259,17 @@
 fn serve(size: Size, statements: usize, seed: u64) -> (World, Counted) {
     let counts = counted::is_counting();
     let mut world = World::new(size, seed);
-    let (looked, spent) = (world.reducer.looked(), world.spent);
+    let (looked, spent) = (world.reducer.engines_examined(), world.spent);
     world.run_for(REST, false);
     let at_rest = world.spent.since(spent).a_second(REST);
-    let looked_at_rest = (world.reducer.looked() - looked) as f64 / REST.as_secs_f64();
+    let looked_at_rest = (world.reducer.engines_examined() - looked) as f64 / REST.as_secs_f64();
     world.run_until(|world| world.taken >= WARM_UP as u64);
     world.begin();
-    let (looked, spent, from) = (world.reducer.looked(), world.spent, world.now);
+    let (looked, spent, from) = (world.reducer.engines_examined(), world.spent, world.now);
     world.run_until(|world| world.taken >= statements as u64);
     let (lasted, beyond) = ((world.now - from).as_secs_f64(), world.spent.since(spent));
     let each = |all: f64, at_rest: f64| ((all - at_rest * lasted) / world.taken as f64).max(0.0);
-    let looked = each((world.reducer.looked() - looked) as f64, looked_at_rest);
+    let looked = each((world.reducer.engines_examined() - looked) as f64, looked_at_rest);
     let allocations = counts.then(|| {
         let calls = each(beyond.allocated.calls as f64, at_rest.calls);
         (calls, each(beyond.allocated.bytes as f64, at_rest.bytes))
@@ -303,7 +304,7 @@
     let mut reducer = Reducer::start(site(size), seed, HELD, START).0;
     let (_, list) = counted::during(|| {
         let (_, list) = engines(size, &mut rng);
-        reducer.step(START, Input::Engines(ListKind::Cached, list));
+        reducer.step(START, Input::EngineList(ListKind::Cached, list));
     });
     let (_, statements) = counted::during(|| {
         (0..HELD as u64).for_each(|number| drop(reducer.step(START + MS, statement(number, &mut rng).0)));
@@ -402,7 +403,7 @@
     now: Duration,
     rng: WyRand,
     engines: Vec<Engine>,
-    list: Vec<Listed>,
+    list: Vec<ListedEngine>,
     by_id: HashMap<Id, usize>,
     /// What is on its way to the gateway.
     coming: BTreeMap<(Duration, u64), Coming>,
@@ -460,7 +461,7 @@
             told: Told::default(),
         };
         let list = world.list.clone();
-        world.step(Input::Engines(ListKind::Cached, list));
+        world.step(Input::EngineList(ListKind::Cached, list));
         world
     }
 
@@ -506,8 +507,11 @@
                 self.completed += u64::from(is_counted && matches!(answer, Answer::Completed(_)));
                 self.works.remove(&name(caller));
             }
-            Effect::Tell { to, message } => self.tell(to, &message),
-            Effect::Keep { .. } | Effect::Say { .. } | Effect::Record(_) | Effect::Hear { .. } => {}
+            Effect::Gossip { to, message } => self.tell(to, &message),
+            Effect::StorePolicy { .. }
+            | Effect::SendToFleet { .. }
+            | Effect::RecordOutstanding(_)
+            | Effect::ProbeEngine { .. } => {}
         }
     }
 
@@ -547,29 +551,29 @@
         let Some(at) = self.out.remove(&(id.clone(), execution)) else { return };
         let engine = &mut self.engines[at];
         engine.out -= 1;
-        let mut ending = Ending::from(outcome);
+        let mut result = ExecutionResult::from(outcome);
         if outcome == Outcome::Completed {
             engine.completed_first = engine.completed_first.or(Some(self.now));
             // As busy as the operators' engines, by all gateways.
             let part = |rng: &mut WyRand| rng.generate::<f64>();
             let utilisation = Some(0.5 + 0.25 * part(&mut self.rng));
             let active_statements = Some((engine.cores * (0.5 + 0.4 * part(&mut self.rng))).round());
-            ending.report = Some(LoadReport { utilisation, active_statements, ..LoadReport::default() });
-            ending.consumed = Some((took, 8.0));
-            ending.pages = vec![Bytes::from_static(b"1\n")];
+            result.report = Some(LoadReport { utilisation, active_statements, ..LoadReport::default() });
+            result.consumed = Some((took, 8.0));
+            result.pages = vec![Bytes::from_static(b"1\n")];
         } else if outcome == Outcome::Refused {
             self.refused += 1;
         } else {
             self.lost += 1;
         }
-        self.step(Input::Ended { id, execution, ending });
+        self.step(Input::ExecutionEnded { id, execution, result });
     }
 
     /// One thing happens, the earliest; not beyond `until`.
     fn go_on(&mut self, until: Duration, offered: bool) -> bool {
         let first = self.coming.first_key_value().map(|(at, _)| at.0);
         let next = offered.then_some(self.next);
-        let due = self.reducer.due();
+        let due = self.reducer.next_wake();
         let at = first.into_iter().chain(next).chain(due).min();
         let Some(at) = at.filter(|at| *at <= until) else {
             self.now = until;
@@ -582,7 +586,7 @@
             match entry.remove() {
                 Coming::Ends(id, execution, outcome, took) => self.ends(id, execution, outcome, took),
                 Coming::Stopped(id, execution) => {
-                    self.step(Input::Stopped { id, execution, after: AfterCancel::Over })
+                    self.step(Input::CancelFinished { id, execution, outcome: CancelOutcome::Over })
                 }
             }
         } else {
@@ -617,7 +621,7 @@
             let message = GossipMessage { observations: vec![word], ..GossipMessage::default() };
             // Not from itself: that would be no other's.
             let from = (self.size.gateways / 2 + 1) as u32 % self.size.gateways as u32;
-            self.step(Input::Told(Event::PeerMessage { from, message }));
+            self.step(Input::PeerEvent(Event::PeerMessage { from, message }));
         }
         self.spent.since(before).took / WORDS
     }
@@ -631,7 +635,7 @@
             self.list[place].entry.started = self.now;
             for told in [&mut changed, &mut again] {
                 let (list, before) = (self.list.clone(), self.spent);
-                self.step(Input::Engines(ListKind::Snapshot, list));
+                self.step(Input::EngineList(ListKind::Snapshot, list));
                 let spent = self.spent.since(before);
                 told.push((spent.took, spent.allocated.calls));
             }
@@ -655,7 +659,7 @@
 }
 
 /// The engines, their ids in no order that tells of zone or kind, and the list of them.
-fn engines(size: Size, rng: &mut WyRand) -> (Vec<Engine>, Vec<Listed>) {
+fn engines(size: Size, rng: &mut WyRand) -> (Vec<Engine>, Vec<ListedEngine>) {
     let one = |at: usize| {
         let id: Id = format!("{:08x}-{at}", rng.generate::<u32>()).into();
         let (zone, is_large) = (at % size.zones(), (at / size.zones()).is_multiple_of(3));
@@ -680,7 +684,7 @@
             used: false,
             completed_first: None,
         };
-        (engine, Listed { entry, address })
+        (engine, ListedEngine { entry, address })
     };
     (0..size.engines).map(one).unzip()
 }
@@ -748,13 +752,13 @@
     };
     let estimate = work.mul_f64(0.5 + rng.generate::<f64>());
     let id = name(number);
-    let parcel = Parcel {
+    let engine_request = EngineRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
         workload: Bytes::from_static(b"w"),
         key: None,
-        text: Text::Whole(Bytes::from_static(b"SELECT note FROM sales_17.orders")),
+        text: StatementText::Inline(Bytes::from_static(b"SELECT note FROM sales_17.orders")),
     };
-    let said = NewStatement {
+    let statement = NewStatement {
         id,
         workload,
         customer: Some(0),
@@ -765,7 +769,7 @@
         table_group: Some(rng.generate_range(0..200)),
         replayable: true,
     };
-    (Input::Statement(Taken { caller: number, said, parcel }), work)
+    (Input::Statement(SubmittedStatement { caller: number, statement, engine_request }), work)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -837,14 +841,14 @@
     world.begin();
     hit.iter().for_each(|at| world.engines[*at].behaviour = ill);
     world.lose(out, event != Trouble::OneSilent);
-    let (from, spent, looked) = (world.now, world.spent, world.reducer.looked());
+    let (from, spent, looked) = (world.now, world.spent, world.reducer.engines_examined());
     world.run_for(FIRST, true);
     let told = world.told;
     world.run_for(LASTS - FIRST, true);
     let seconds = |at: Duration, from: Duration| (at - from).as_secs_f64();
     let (statements, sends) = (world.taken, world.sends_to(&gone));
     let each = |all: f64| all / statements.max(1) as f64;
-    let looked = each((world.reducer.looked() - looked) as f64);
+    let looked = each((world.reducer.engines_examined() - looked) as f64);
     let took = each(world.spent.since(spent).took.as_secs_f64() * 1e6);
     world.is_counting = false;
     let (lost, refused) = (world.lost, world.refused);
--- a/crates/rig/src/scale/hollow/gateway.rs
+++ b/crates/rig/src/scale/hollow/gateway.rs
@@ -6,7 +6,8 @@
 use bramblewharf_fleet::wire::{Message, MAX_DATAGRAM_BYTES};
 use bramblewharf_fleet::{node, Envelope};
 use bramblewharf_gateway::reducer::{
-    AfterCancel, Answer, Effect, Ending, Input, Listed, Parcel, Reducer, Taken, Text,
+    Answer, CancelOutcome, Effect, EngineRequest, ExecutionResult, Input, ListedEngine, Reducer,
+    StatementText, SubmittedStatement,
 };
 use bramblewharf_gateway::{machine_time, policy, LONGEST_OF_PEERS, MOST_A_SECOND};
 use bramblewharf_policy::PolicyMessage;
@@ -100,7 +101,7 @@
     pub part: node::Start,
     pub policy: Option<(bramblewharf_policy::Start, Arc<policy::Names>)>,
     pub site: bramblewharf::interface::Site,
-    pub list: Vec<Listed>,
+    pub list: Vec<ListedEngine>,
     pub seed: u64,
     pub fleet: Bound,
     pub peers: Bound,
@@ -134,7 +135,8 @@
         let now = machine_time();
         let socket = |bound: Bound| UdpSocket::from_std(bound).map_err(|e| format!("socket: {e}"));
         let (fleet, peers) = (socket(own.fleet)?, socket(own.peers)?);
-        let (reducer, first) = Reducer::start_in(Some(own.part), own.policy, own.site, own.seed, HELD, now);
+        let (reducer, first) =
+            Reducer::start_in_fleet(Some(own.part), own.policy, own.site, own.seed, HELD, now);
         let mut hollow = Hollow {
             at: own.at,
             shared,
@@ -150,7 +152,7 @@
             rng: WyRand::new_seed(own.seed),
         };
         first.into_iter().for_each(|effect| hollow.carry_out(effect));
-        hollow.input(Input::Engines(ListKind::Cached, own.list));
+        hollow.input(Input::EngineList(ListKind::Cached, own.list));
         Ok(hollow)
     }
 
@@ -193,14 +195,16 @@
                 self.running.push(Reverse((machine_time() + wait, id, execution, !ill)));
             }
             Effect::Stop { id, execution, .. } => {
-                self.inputs.push_back(Input::Stopped { id, execution, after: AfterCancel::Over })
+                self.inputs.push_back(Input::CancelFinished { id, execution, outcome: CancelOutcome::Over })
             }
-            Effect::Record(_) => {}
-            Effect::Hear { .. } => self.inputs.push_back(Input::EngineHeard { has_read: true }),
+            Effect::RecordOutstanding(_) => {}
+            Effect::ProbeEngine { .. } => self.inputs.push_back(Input::EngineProbed { has_read: true }),
             // Without a disk, and so said to be well at once.
-            Effect::Keep { generation, .. } => self.inputs.push_back(Input::Kept { generation, well: true }),
-            Effect::Say { to, envelope } => self.say(&to, &envelope),
-            Effect::Tell { to, message } => {
+            Effect::StorePolicy { generation, .. } => {
+                self.inputs.push_back(Input::PolicyStored { generation, succeeded: true })
+            }
+            Effect::SendToFleet { to, envelope } => self.say(&to, &envelope),
+            Effect::Gossip { to, message } => {
                 let address = to.filter(|peer| *peer as usize != self.at);
                 let address = address.and_then(|peer| self.shared.peers.get(peer as usize).copied());
                 if let Some(address) = address {
@@ -240,7 +244,7 @@
     fn heard(&mut self, bytes: &[u8], from: SocketAddr) {
         if self.arrives(bytes) {
             match Envelope::decode(bytes, &self.shared.key, self.shared.fleet) {
-                Some(envelope) => self.input(Input::Fleet(envelope, from)),
+                Some(envelope) => self.input(Input::FleetMessage(envelope, from)),
                 None => add(&self.seen().passed_over, 1),
             }
         }
@@ -253,7 +257,7 @@
             let number = number.filter(|at| *at != self.at && bytes.len() <= LONGEST_OF_PEERS);
             match number.map(|number| bramblewharf_site::message::read(number as u32, bytes)) {
                 None | Some(bramblewharf::interface::Event::Unreadable) => add(&self.seen().passed_over, 1),
-                Some(event) => self.input(Input::Told(event)),
+                Some(event) => self.input(Input::PeerEvent(event)),
             }
         }
     }
@@ -273,7 +277,7 @@
             (_, None) => self.offered = Some(now + self.pause(rate)),
             _ => {}
         }
-        let own = self.reducer.due().unwrap_or(now + 100 * MS).min(now + 100 * MS);
+        let own = self.reducer.next_wake().unwrap_or(now + 100 * MS).min(now + 100 * MS);
         let ends = self.running.peek().map(|Reverse((at, ..))| *at);
         ends.into_iter().chain(self.offered).fold(own, Duration::min)
     }
@@ -290,18 +294,18 @@
         }
         while self.running.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Some(Reverse((_, id, execution, well))) = self.running.pop() else { break };
-            let ending = match well {
-                true => Ending { consumed: Some((TAKES, 1.0)), ..Outcome::Completed.into() },
+            let result = match well {
+                true => ExecutionResult { consumed: Some((TAKES, 1.0)), ..Outcome::Completed.into() },
                 false => Outcome::Refused.into(),
             };
-            self.input(Input::Ended { id, execution, ending });
+            self.input(Input::ExecutionEnded { id, execution, result });
         }
         if self.offered.is_some_and(|at| at <= now) {
             let rate = self.shared.rate.load(Relaxed).max(1);
             self.offered = Some(now + self.pause(rate));
             self.offer();
         }
-        if self.reducer.due().is_some_and(|at| at <= now) {
+        if self.reducer.next_wake().is_some_and(|at| at <= now) {
             self.input(Input::Wake);
         }
         if self.shared.looks.load(Relaxed) && now >= self.shown + SHOWN {
@@ -314,13 +318,13 @@
         let number = ((self.at as u64) << 40) + self.next;
         self.next += 1;
         let id: Id = format!("{number:x}").into();
-        let parcel = Parcel {
+        let engine_request = EngineRequest {
             id: Bytes::copy_from_slice(id.as_bytes()),
             workload: Bytes::from_static(b"lookup"),
             key: None,
-            text: Text::Whole(Bytes::from_static(b"SELECT 1")),
+            text: StatementText::Inline(Bytes::from_static(b"SELECT 1")),
         };
-        let said = NewStatement {
+        let statement = NewStatement {
             id,
             workload: 0,
             customer: Some(0),
@@ -331,7 +335,7 @@
             table_group: None,
             replayable: true,
         };
-        self.input(Input::Statement(Taken { caller: number, said, parcel }));
+        self.input(Input::Statement(SubmittedStatement { caller: number, statement, engine_request }));
     }
 
     fn show(&mut self, now: Duration) {
