--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -1,32 +1,34 @@
-//! What must hold whatever the network does: asserted in debug builds, counted in release builds.
+//! Invariants that hold whatever the network does: asserted in debug builds, counted in release builds.
 
-/// Each is a fault of the gateway itself, never of a peer, a client or the network.
+/// A violation is always a bug of the gateway, never of a peer, a client or the network. The names are
+/// printed in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A statement has one final answer.
+    /// A statement gets exactly one final answer.
     OneAnswer,
-    /// An action speaks of a statement that is held.
+    /// The scheduler only sends executions of statements that are held.
     KnownStatement,
-    /// A send goes to an engine on the list.
+    /// An execution goes to an engine on the list.
     KnownEngine,
-    /// Nothing is sent for a statement that has its answer.
+    /// Nothing is sent for a statement that has been answered.
     NothingAfter,
-    /// The decisions answer a statement before its time is over.
+    /// The scheduler answers a statement before its deadline.
     AnsweredInTime,
-    /// Sending: the engine is up by the list, and that is fresh enough, as a first byte goes out.
+    /// When a first byte goes out, the engine is up according to the list, and the list is recent enough.
     SendsByList,
-    /// Sending: the statement's client still waits as a first byte goes out.
+    /// When a first byte goes out, the statement's client still waits.
     SendsForClients,
-    /// Repeating: what may not be repeated goes out again only where no attempt before may have run.
+    /// A non-idempotent statement is sent again only if no earlier attempt can have run.
     RepeatsSafely,
-    /// Repeating: where second copies are forbidden, no other attempt is out as a first byte goes out.
+    /// When a first byte goes out and concurrent attempts are forbidden, no other attempt is in flight.
     OneAtATime,
-    /// Closing: no client's connection is closed by this side while a call on it has no answer.
+    /// The gateway doesn't close a client's connection while a call on it is unanswered.
     ClosesAnswered,
-    /// Starting: the list of engines is there before the first call is.
+    /// The engine list is known before the first call is accepted.
     StartsWithList,
 }
 
+/// All invariants, in the order of their counters.
 pub const ALL: [Invariant; 11] = [
     Invariant::OneAnswer,
     Invariant::KnownStatement,
@@ -41,25 +43,27 @@
     Invariant::StartsWithList,
 ];
 
-/// How often each was found broken.
+/// How often each invariant was violated.
 #[derive(Clone, Debug, Default)]
 pub struct Violations([u64; ALL.len()]);
 
 impl Violations {
-    /// Asserts in debug builds; in release builds counts, and the caller goes on as best it can.
+    /// Asserts in debug builds. In release builds counts a violation and returns `holds`, so that the caller
+    /// can carry on.
     pub fn check(&mut self, invariant: Invariant, holds: bool) -> bool {
-        debug_assert!(holds, "invariant broken: {invariant:?}");
+        debug_assert!(holds, "invariant violated: {invariant:?}");
         if !holds {
             self.0[invariant as usize] += 1;
         }
         holds
     }
 
-    /// So many more were found elsewhere.
+    /// Adds violations that were counted elsewhere.
     pub fn add(&mut self, invariant: Invariant, times: u64) {
         self.0[invariant as usize] += times;
     }
 
+    /// The count of each invariant.
     pub fn counts(&self) -> impl Iterator<Item = (Invariant, u64)> + '_ {
         ALL.into_iter().map(|invariant| (invariant, self.0[invariant as usize]))
     }
--- a/crates/gateway/src/orphans.rs
+++ b/crates/gateway/src/orphans.rs
@@ -1,5 +1,5 @@
-//! Executions that have ended here and may yet run or begin at their engines, while the fleet's budgets count them; and the record of
-//! all that is out, for the process after this one.
+//! Executions that have ended here but may still start or run at their engines, while the fleet's budgets
+//! count them; and the record of all outstanding executions, which the next process reads.
 
 use bramblewharf::interface::Id;
 use bramblewharf_budgets::usage::OrphanId;
@@ -12,11 +12,12 @@
 
 struct Entry {
     orphan_id: OrphanId,
-    /// A process before this one sent it: nothing is known of how its connection ended.
+    /// It was sent by a previous process: how its connection ended is unknown.
     inherited: bool,
 }
 
-/// Bounded by what the budgets count.
+/// Tracks orphaned executions by statement id and execution number. Its size is bounded by what the budgets
+/// count.
 #[derive(Default)]
 pub struct OrphanTracker {
     entries: HashMap<Key, Entry>,
@@ -24,29 +25,29 @@
 }
 
 impl OrphanTracker {
-    /// With a record of what is out, where one is kept.
+    /// Starts with the slots of the record, if one is kept.
     pub fn with_record(slots: Option<Slots>) -> OrphanTracker {
         OrphanTracker { entries: HashMap::new(), slots }
     }
 
-    /// What the record begins with.
+    /// The writes that create the record: the inherited executions, then the header.
     pub fn initial_writes(&mut self, inherited: &[(Outstanding, OrphanId)]) -> Vec<Write> {
         let Some(slots) = &mut self.slots else { return Vec::new() };
         let used: Vec<Write> = inherited.iter().map(|(outstanding, _)| slots.add(outstanding)).collect();
         used.into_iter().chain([slots.header()]).collect()
     }
 
-    /// A process before this one sent it.
+    /// Adds an execution that a previous process sent.
     pub fn inherit(&mut self, id: Id, execution: usize, orphan_id: OrphanId) {
         self.entries.insert((id, execution), Entry { orphan_id, inherited: true });
     }
 
-    /// It goes out: to be written before its first byte.
+    /// An execution is about to be sent: the write has to be carried out before its first byte goes out.
     pub fn execution_sent(&mut self, outstanding: impl FnOnce() -> Outstanding) -> Option<Write> {
         self.slots.as_mut().map(|slots| slots.add(&outstanding()))
     }
 
-    /// It has ended here; `name`: what may remain of it counts by that.
+    /// An execution has ended here; `orphan_id` identifies what may remain of it in the budgets.
     pub fn execution_ended(
         &mut self,
         id: &Id,
@@ -62,12 +63,13 @@
         }
     }
 
-    /// Whether it counts yet.
+    /// Whether an execution still counts.
     pub fn contains(&self, id: &Id, execution: usize) -> bool {
         self.entries.contains_key(&(id.clone(), execution))
     }
 
-    /// More is known of what remains of it. Whether that changed what is in use, and what is to be written.
+    /// Applies what has become known of an orphan. Returns none if it is not tracked, else the write that is
+    /// needed, if any.
     pub fn settle(
         &mut self,
         now: Duration,
@@ -85,18 +87,19 @@
         }
     }
 
-    /// Whether a process before this one sent it.
+    /// Whether a previous process sent an orphan.
     pub fn is_inherited(&self, id: &Id, execution: usize) -> bool {
         self.entries.get(&(id.clone(), execution)).is_some_and(|entry| entry.inherited)
     }
 
-    /// Drops what can't run any more, and says in the record when that holds all there is.
+    /// Removes executions that can't run any more, and marks the record as complete once it holds all
+    /// outstanding ones.
     pub fn remove_expired(&mut self, node: &Node) -> Vec<Write> {
         let mut writes = Vec::new();
         if self.entries.len() > node.lingering() {
-            let over = self.entries.iter().filter(|(_, entry)| !node.lingers(entry.orphan_id));
-            let over: Vec<Key> = over.map(|(key, _)| key.clone()).collect();
-            for (id, execution) in over {
+            let expired = self.entries.iter().filter(|(_, entry)| !node.lingers(entry.orphan_id));
+            let expired: Vec<Key> = expired.map(|(key, _)| key.clone()).collect();
+            for (id, execution) in expired {
                 self.entries.remove(&(id.clone(), execution));
                 writes.extend(self.remove_record(&id, execution));
             }
--- a/crates/gateway/src/process_pause/tests.rs
+++ b/crates/gateway/src/process_pause/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_read_just_after_a_pause_may_have_waited_since_its_beginning() {
+fn data_read_just_after_a_pause_may_have_waited_since_the_pause_began() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let pauses = PauseDetector::new(start);
@@ -17,9 +17,9 @@
     assert_eq!(pauses.queueing_delay(at(1600)), Duration::ZERO);
 }
 
-/// Guards against a call that waited through two pauses, of which only the second counts.
+/// Guards against a call that waited through two pauses of which only the second counts.
 #[test]
-fn pauses_with_no_time_to_read_between_them_are_one() {
+fn pauses_without_time_to_catch_up_between_them_count_as_one() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let pauses = PauseDetector::new(start);
@@ -27,7 +27,7 @@
         pauses.record_activity(at(ms));
     }
     assert_eq!(pauses.queueing_delay(at(1210)), Duration::from_millis(1210));
-    // Time enough to read all that came: the next is a pause of its own.
+    // Enough time to read everything that arrived: the next pause is a separate one.
     for ms in [1250, 1300, 1700] {
         pauses.record_activity(at(ms));
     }
--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/src/reducer.rs
@@ -1,5 +1,6 @@
-//! The one place where the gateway's state changes: `(state, input, now) -> effects`, without I/O, clock or
-//! await. It owns the decisions, the statements and their executions; the runtime carries out what it asks for.
+//! The deterministic core of the gateway: `(state, input, now) -> effects`, without I/O, clock or await. It
+//! is the only place where the gateway's state changes. It owns the scheduler, the statements and their
+//! executions; the runtime feeds it inputs and carries out its effects.
 
 mod ended;
 mod fleet;
@@ -30,49 +31,53 @@
     StatementText, SubmittedStatement,
 };
 
-/// How long after a statement's time is over the gateway answers by itself, should the decisions not have.
+/// How long after its deadline an open statement is aborted if the scheduler has not answered it.
 const ANSWER_GUARD: Duration = Duration::from_millis(15);
 
-/// Of a statement's time, what a timer may be late by and what the answer takes on its way: the decisions get the
-/// rest, so that a client is told before it stops waiting.
+/// Withheld from the time that the scheduler gets for a statement: covers late timers and the transmission of
+/// the answer, so that the answer arrives before the client stops waiting.
 const ANSWER_MARGIN: Duration = Duration::from_millis(4);
 
-/// A timer that is later than this shows that the loop stood still: what came meanwhile has not been read yet.
+/// A timer that is later than this shows that the event loop was stalled and that received messages have not
+/// been read yet.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// What the name service has to tell counts as told so long after it happened, and an answer that waits unread when it was sent: with the
-/// grace on top no first byte may go out by a list older than that.
+/// How old the engine list may be, without the drain grace, when the first byte of an execution goes out. The
+/// name service reports a change at most this long after it happened; an answer counts from when it was sent,
+/// however late it is read.
 const LIST_MAX_AGE: Duration = Duration::from_millis(1500);
 
-/// How long an engine is told at the least to end an execution, where it does not answer.
+/// The shortest time for which a cancel is retried while the engine does not answer.
 pub const MIN_CANCEL_WINDOW: Duration = Duration::from_millis(2500);
 
 #[derive(Clone, Debug)]
 enum Timer {
+    /// Set by the scheduler, which tells its timers apart by the mark.
     Mark(u64),
     /// The time-out of an execution.
     Execution(Id, usize),
-    /// A statement's time is over.
+    /// The statement has not been answered by its deadline.
     Statement(Id),
 }
 
+/// When a timer expires; the sequence number orders timers that expire at the same time.
 type TimerKey = (Duration, u64);
 
 struct Execution {
     engine: Id,
     address: SocketAddr,
     sent: Duration,
-    /// None once it has its outcome.
+    /// None once the execution has its outcome.
     timeout_timer: Option<TimerKey>,
-    /// The outcome it will have once its engine has been told.
+    /// The outcome that it gets once its cancel has been delivered.
     stopping: Option<Outcome>,
-    /// What it takes of the fleet's budgets.
+    /// Its usage of the fleet's budgets.
     charges: Charges,
-    /// Its engine has shown that it has it.
+    /// The engine has shown that it received the execution.
     arrived: bool,
-    /// It has ended here, and nothing shows that it has at its engine.
+    /// It has ended here, and the engine has not confirmed that it can't run any more.
     unconfirmed: bool,
-    /// It surely never ran.
+    /// It is certain that the engine never ran it.
     never_ran: bool,
 }
 
@@ -81,16 +86,16 @@
     fingerprint: Fingerprint,
     engine_request: Rc<EngineRequest>,
     mem_mb: f64,
-    /// As budgets see it: workload, customer and memory (MB).
+    /// What budgets select it by: workload, customer and memory (MB).
     budget_key: (usize, Option<usize>, f64),
-    /// What its next execution takes of them.
+    /// The budget usage of its next execution.
     next_charges: Charges,
-    /// None once it has its answer.
+    /// None once the statement has been answered.
     answer_timer: Option<TimerKey>,
     executions: Vec<Execution>,
 }
 
-/// What has happened since the start, for whoever is on call.
+/// Counters since the start, for the operators' log. The field names are printed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub taken: u64,
@@ -98,75 +103,78 @@
     pub rejected: u64,
     pub aborted: u64,
     pub left: u64,
-    /// Rejected at the bound of statements held, before any decision.
+    /// Rejected without a decision, as the number of held statements was at its bound.
     pub at_bound: u64,
     pub id_in_use: u64,
     pub executions: u64,
     pub stopped: u64,
     pub timed_out: u64,
-    /// Time-outs that came late, as the gateway's loop had stood still, and were put off by as much.
+    /// Time-outs that were extended because they fired late after a stall of the event loop.
     pub waited_on: u64,
-    /// By what engines and the network told of executions.
+    /// Outcomes of executions, as reported by engines and the network: this one and the next three.
     pub full: u64,
     pub refused: u64,
     pub resets: u64,
     pub errors: u64,
-    /// Outcomes of executions that no one waited for any longer.
+    /// Outcomes that arrived after the execution already had one.
     pub too_late: u64,
 }
 
+/// The gateway's state.
 pub struct Reducer {
     scheduler: Scheduler,
-    /// Emptied of a statement when it has its answer and none of its executions is out.
+    /// A statement is removed once it has been answered and none of its executions is in flight.
     statements: HashMap<Id, HeldStatement>,
     recently_ended: RecentlyEnded,
-    /// The time of the step that is under way.
+    /// The time of the current step.
     now: Duration,
     open_statements: usize,
     max_statements: usize,
     one_at_a_time: bool,
     tick: Duration,
-    /// The list as last heard, and whether nothing has been heard of it for a while.
+    /// The current engine list, and whether the name service has stopped answering.
     engines: HashMap<Id, ListedEngine>,
     list_silent: bool,
-    /// Whether there ever was a list; where a name service is asked, when it was last confirmed and listened to.
+    /// Whether there ever was a list.
     listed: bool,
+    /// When the list was last confirmed and last polled, if a name service is configured.
     list_times: Option<(Duration, Duration)>,
     drain_grace: Duration,
     workload_effects: Vec<bramblewharf::interface::Effect>,
     timers: BTreeMap<TimerKey, Timer>,
     timers_set: u64,
-    /// This gateway's part in its fleet, where it has one; whether what is left of its budgets is not yet told.
+    /// This gateway's membership in a fleet, if it has one.
     fleet: Option<Box<Node>>,
     policy: Option<Box<Policy>>,
+    /// The scheduler has not been notified yet of the current headroom of the budgets.
     headroom_changed: bool,
     next_headroom_update: Option<Duration>,
     next_fleet_tick: Option<Duration>,
     workload_threads: Vec<f64>,
-    /// What the decisions have yet to hear of.
+    /// Events that the scheduler has not handled yet.
     events: VecDeque<Event>,
     effects: Vec<Effect>,
-    /// Executions that have ended here and may yet run unheard, while the budgets count them.
+    /// Executions that have ended here but may still run at their engines; budgets keep counting them.
     orphans: OrphanTracker,
-    /// Engines that have yet to show that they have read what a process before this one sent.
+    /// Engines that have not confirmed yet that they have read everything a previous process sent.
     hearing: Option<Hearing>,
-    /// Emptied whenever it is logged.
+    /// Failed executions by engine, since they were last logged.
     engine_failures: BTreeMap<Id, u64>,
     pub counts: Counts,
-    /// Statements given up by the decisions, by why.
+    /// Statements that the scheduler gave up, by reason.
     pub refusals: BTreeMap<Refusal, u64>,
-    /// Those of the last step.
+    /// The refusals of the last step.
     last_refusals: Vec<(Id, Refusal)>,
     pub violations: Violations,
 }
 
 impl Reducer {
-    /// `max_statements`: the statements that may be held at once.
+    /// Starts a gateway that is in no fleet. `max_statements` bounds the statements that are held at once.
     pub fn start(site: Site, seed: u64, max_statements: usize, now: Duration) -> (Reducer, Vec<Effect>) {
         Reducer::start_in_fleet(None::<FleetMembership>, None, site, seed, max_statements, now)
     }
 
-    /// In a fleet whose budgets it has a part of.
+    /// Starts a gateway that shares the budgets, and where given the policy, of a fleet.
     pub fn start_in_fleet(
         fleet: Option<impl Into<FleetMembership>>,
         policy: Option<(policy::Start, Arc<Names>)>,
@@ -179,7 +187,8 @@
         let (one_at_a_time, tick, drain_grace) = (!site.concurrent_executions, site.tick, site.drain_grace);
         let workload_effects = site.workloads.iter().map(|config| config.effect).collect();
         let (scheduler, actions) = Scheduler::start(site, seed, now);
-        // Its own text was read before: one that can't be is none to begin with, and it goes on undecided.
+        // The gateway's own policy text was checked before; without a readable one it starts with the policy
+        // undecided.
         let policy = policy.and_then(|(start, names)| {
             let node = policy::Node::start(start, now).ok()?;
             let permit = node.permit(now);
@@ -225,10 +234,12 @@
         (reducer, effects)
     }
 
+    /// Applies one input, then all timers that have expired, and returns the effects to carry out in this
+    /// order.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Effect> {
         self.last_refusals.clear();
         self.now = now;
-        // First of all: whatever comes is decided by the leave as it is now.
+        // First of all, so that the input is decided by the grants in force now.
         self.tick_fleet(now);
         match input {
             Input::Statement(submitted) => self.accept_statement(now, submitted),
@@ -236,7 +247,7 @@
             Input::ClientAway(id, away) => self.events.push_back(Event::ClientAway(id, away)),
             Input::BodyLost(id) => self.events.push_back(Event::BodyLost(id)),
             Input::ExecutionNoted { id, execution, note } => {
-                if let Some(engine) = self.in_flight(&id, execution).map(|x| x.engine.clone()) {
+                if let Some(engine) = self.in_flight(&id, execution).map(|attempt| attempt.engine.clone()) {
                     self.events.push_back(Event::ExecutionNoted { id, execution, engine, note });
                 }
             }
@@ -244,8 +255,9 @@
                 self.execution_ended(now, &id, execution, result)
             }
             Input::ExecutionArrived { id, execution } => {
-                let x = self.statements.get_mut(&id).and_then(|stmt| stmt.executions.get_mut(execution));
-                x.into_iter().for_each(|x| x.arrived = true);
+                let attempt =
+                    self.statements.get_mut(&id).and_then(|stmt| stmt.executions.get_mut(execution));
+                attempt.into_iter().for_each(|attempt| attempt.arrived = true);
             }
             Input::CancelFinished { id, execution, outcome } => {
                 self.cancel_finished(now, &id, execution, outcome)
@@ -288,55 +300,58 @@
             Input::Close => self.close(now),
         }
         self.process_events(now);
-        // One at a time: a loop that was late must not take a statement's end before what leads to it.
+        // One at a time, each with its events: after a stall a statement's deadline must not overtake the
+        // timers before it.
         while let Some(entry) = self.timers.first_entry().filter(|first| first.key().0 <= now) {
-            let (at, due) = (entry.key().0, entry.get().clone());
+            let (at, timer) = (entry.key().0, entry.get().clone());
             entry.remove();
-            self.timer_expired(now, now - at, due);
+            self.timer_expired(now, now - at, timer);
             self.process_events(now);
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// The statements that the last step had given up, and why.
+    /// The statements that the scheduler gave up in the last step, and the reasons.
     pub fn last_refusals(&self) -> &[(Id, Refusal)] {
         &self.last_refusals
     }
 
-    /// Engines that the decisions have looked at since the start.
+    /// How many engines the scheduler has examined since the start, for measurements.
     pub fn engines_examined(&self) -> u64 {
         self.scheduler.engines_examined()
     }
 
-    /// When the next `Wake` is wanted.
+    /// When the runtime has to send the next `Input::Wake`.
     pub fn next_wake(&self) -> Option<Duration> {
         let own = self.timers.first_key_value().map(|(at, _)| at.0);
         self.next_fleet_tick.into_iter().chain(own).min()
     }
 
-    /// The rule, if any, by which an execution may no longer go out, as its first byte is about to: a client may have left since
-    /// it was decided, its engine begun to drain, the time for a repeat run out.
+    /// Checks an execution again before its first byte goes out, and returns the rule that forbids it, if
+    /// any: since the decision the client may have disconnected, the engine begun to drain or the time for a
+    /// repeat run out.
     pub fn recheck(&self, now: Duration, id: &Id, execution: usize) -> Option<Rule> {
         self.scheduler.recheck(now, id, execution)
     }
 
-    /// The first byte of an execution goes out: checked once more, by this machine's own records, that it may.
+    /// Verifies, as the first byte of an execution goes out, the invariants of sending against the reducer's
+    /// own state.
     pub fn check_send(&mut self, now: Duration, id: &Id, execution: usize) {
         let stmt = self.statements.get(id);
         let found = stmt.and_then(|stmt| Some((stmt, stmt.executions.get(execution)?)));
         let (for_client, by_list, safe, alone) = match found {
             None => (false, true, true, true),
-            Some((stmt, x)) => {
-                let listed = self.engines.get(&x.engine);
+            Some((stmt, attempt)) => {
+                let listed = self.engines.get(&attempt.engine);
                 let up = listed.is_some_and(|listed| listed.entry.state == EngineState::In);
                 let oldest = now.saturating_sub(LIST_MAX_AGE + self.drain_grace);
                 let fresh = self.list_times.is_none_or(|(confirmed, _)| confirmed >= oldest);
                 let once = self.workload_effects.get(stmt.budget_key.0)
                     == Some(&bramblewharf::interface::Effect::NonIdempotent);
                 let before = || stmt.executions[..execution].iter();
-                let safe = !once || before().all(|x| x.never_ran);
-                let alone =
-                    !self.one_at_a_time || before().all(|x| x.timeout_timer.is_none() && !x.unconfirmed);
+                let safe = !once || before().all(|attempt| attempt.never_ran);
+                let alone = !self.one_at_a_time
+                    || before().all(|attempt| attempt.timeout_timer.is_none() && !attempt.unconfirmed);
                 (stmt.answer_timer.is_some(), up && fresh, safe, alone)
             }
         };
@@ -346,44 +361,46 @@
         self.violations.check(Invariant::OneAtATime, alone);
     }
 
-    /// The gateway is about to serve.
+    /// Verifies that an engine list is known before the gateway serves.
     pub fn check_serving(&mut self) {
         self.violations.check(Invariant::StartsWithList, self.listed);
     }
 
-    /// Whether a repeat that is on its way would still be known for one when it is whole.
+    /// Whether the rest of an execution may still be sent: engines recognize a repeat as such only for a
+    /// limited time.
     pub fn may_complete_send(&self, now: Duration, id: &Id, execution: usize) -> bool {
         self.scheduler.recheck(now, id, execution) != Some(Rule::NoDoubleEffect)
     }
 
-    /// What it decides by of the fleet's policy.
+    /// The state of the fleet's policy, if the gateway follows one.
     pub fn policy(&self) -> Option<&policy::Node> {
         self.policy.as_ref().map(|policy| &policy.node)
     }
 
-    /// This gateway's part in its fleet.
+    /// This gateway's membership in its fleet.
     pub fn fleet(&mut self) -> Option<&mut Node> {
         self.fleet.as_deref_mut()
     }
 
-    /// Whether one more statement would be rejected at the bound: then its text need not come at all.
+    /// Whether the bound of held statements rejects one more, so that its body need not be read; counts it if
+    /// so.
     pub fn reject_at_bound(&mut self) -> bool {
         let full = self.statements.len() >= self.max_statements;
         self.counts.at_bound += u64::from(full);
         full
     }
 
-    /// Statements that wait for their answer.
+    /// The number of statements that wait for their answer.
     pub fn open(&self) -> usize {
         self.open_statements
     }
 
-    /// Statements held, those that only wait for an execution's outcome among them.
+    /// The number of statements held, including answered ones with executions in flight.
     pub fn held(&self) -> usize {
         self.statements.len()
     }
 
-    /// Hands the decisions all news, and what follows from what they do with it.
+    /// Lets the scheduler handle all pending events, including those that its own actions cause.
     fn process_events(&mut self, now: Duration) {
         while let Some(event) = self.events.pop_front() {
             let actions = self.scheduler.handle_event(now, event);
@@ -395,14 +412,14 @@
         }
     }
 
-    fn set_timer(&mut self, at: Duration, due: Timer) -> TimerKey {
+    fn set_timer(&mut self, at: Duration, timer: Timer) -> TimerKey {
         self.timers_set += 1;
-        self.timers.insert((at, self.timers_set), due);
+        self.timers.insert((at, self.timers_set), timer);
         (at, self.timers_set)
     }
 
     fn in_flight(&self, id: &Id, execution: usize) -> Option<&Execution> {
-        self.statements.get(id)?.executions.get(execution).filter(|x| x.timeout_timer.is_some())
+        self.statements.get(id)?.executions.get(execution).filter(|attempt| attempt.timeout_timer.is_some())
     }
 
     fn accept_statement(&mut self, now: Duration, submitted: SubmittedStatement) {
@@ -438,7 +455,7 @@
         self.events.push_back(Event::Statement(statement));
     }
 
-    /// No answer is owed any longer; where the connection can still carry one, it says so.
+    /// The answer only reaches a client that cancelled and keeps its connection.
     fn client_disconnected(&mut self, id: &Id) {
         if self.statements.get(id).is_some_and(|s| s.answer_timer.is_some()) {
             self.counts.left += 1;
@@ -457,7 +474,7 @@
         }
     }
 
-    /// The only place that answers.
+    /// The only place that answers statements which were accepted.
     fn answer(&mut self, id: &Id, answer: Answer) {
         let held = self.statements.get_mut(id);
         let open = held.and_then(|s| s.answer_timer.take().map(|at| (s.caller, at)));
@@ -473,7 +490,7 @@
 
     fn remove_if_over(&mut self, id: &Id) {
         let is_over = |s: &HeldStatement| {
-            s.answer_timer.is_none() && s.executions.iter().all(|x| x.timeout_timer.is_none())
+            s.answer_timer.is_none() && s.executions.iter().all(|attempt| attempt.timeout_timer.is_none())
         };
         if self.statements.get(id).is_some_and(is_over) {
             if let Some(stmt) = self.statements.remove(id) {
@@ -482,17 +499,18 @@
         }
     }
 
-    /// An execution has ended as its engine or the network told.
+    /// The engine's response to an execution has come, or its connection has failed.
     fn execution_ended(&mut self, now: Duration, id: &Id, execution: usize, result: ExecutionResult) {
         let remains = match result.outcome {
             _ if result.unread => Remains::Unconfirmed,
             Outcome::Completed | Outcome::Full | Outcome::Skipped | Outcome::Refused => Remains::Nothing,
-            // Neither a word that is no ending nor a connection that ended shows that nothing runs any more.
+            // Neither an error response nor a closed connection shows that the execution no longer runs.
             _ => Remains::Orphaned,
         };
-        let to = self.in_flight(id, execution).map(|x| (x.engine.clone(), x.address));
+        let to = self.in_flight(id, execution).map(|attempt| (attempt.engine.clone(), attempt.address));
         self.finish_execution(now, id, execution, result, remains);
-        // What the budgets count of it is free as soon as its engine answers, not only when it can't begin any more.
+        // Without a cancel the budgets would count the execution until it can't start any more; the engine's
+        // answer frees it sooner.
         if let Some((engine, address)) = to.filter(|_| remains == Remains::Unconfirmed) {
             if let Some(cancel) = self.cancel_unconfirmed(id, execution) {
                 self.effects.push(Effect::Stop { id: id.clone(), execution, engine, address, cancel });
@@ -500,7 +518,7 @@
         }
     }
 
-    /// The engine of an execution that was given up was told so, or could not be.
+    /// The cancel of a stopped execution has been delivered, or given up.
     fn cancel_finished(&mut self, now: Duration, id: &Id, execution: usize, cancel_outcome: CancelOutcome) {
         let remains = match cancel_outcome {
             CancelOutcome::Over => Remains::Nothing,
@@ -508,13 +526,15 @@
             CancelOutcome::Unread | CancelOutcome::Unknown => Remains::Unconfirmed,
         };
         let remains = match cancel_outcome {
-            // The connection of a process that was killed was not reset: what the system held of it may yet arrive.
+            // The killed process did not reset its connection: data buffered by the operating system may
+            // still arrive.
             CancelOutcome::CutOff if self.orphans.is_inherited(id, execution) => Remains::Unconfirmed,
             _ => remains,
         };
-        let stopping = self.in_flight(id, execution).and_then(|x| x.stopping);
-        // A statement that may wait unread at its engine is not over: where one attempt may be out at a time, the next would go out
-        // beside it as soon as that engine reads on, however long it took. Only its own time ends the wait.
+        let stopping = self.in_flight(id, execution).and_then(|attempt| attempt.stopping);
+        // An execution that may be unread is not over: the engine could read and run it at any later time,
+        // concurrently with the next attempt. If only one attempt may be in flight, only the statement's
+        // deadline ends the wait.
         let over =
             matches!(cancel_outcome, CancelOutcome::Over | CancelOutcome::Gone | CancelOutcome::CutOff);
         match stopping {
@@ -524,7 +544,8 @@
         }
     }
 
-    /// Gives an execution its one outcome; whatever else comes for it is dropped. What may remain of it at its engine counts on.
+    /// Gives an execution its single outcome; later ones are dropped. Budgets keep counting what may remain
+    /// of it at its engine.
     fn finish_execution(
         &mut self,
         now: Duration,
@@ -537,21 +558,23 @@
             self.counts.too_late += 1;
             return;
         };
-        let x = stmt.executions.get_mut(execution);
-        let Some((x, at)) = x.and_then(|x| x.timeout_timer.take().map(|at| (x, at))) else {
+        let attempt = stmt.executions.get_mut(execution);
+        let Some((attempt, at)) =
+            attempt.and_then(|attempt| attempt.timeout_timer.take().map(|at| (attempt, at)))
+        else {
             self.counts.too_late += 1;
             return;
         };
         self.timers.remove(&at);
-        let (engine, elapsed) = (x.engine.clone(), now.saturating_sub(x.sent));
-        let parts = std::mem::take(&mut x.charges);
+        let (engine, elapsed) = (attempt.engine.clone(), now.saturating_sub(attempt.sent));
+        let charges = std::mem::take(&mut attempt.charges);
         let ExecutionResult { outcome, pages, consumed, report, .. } = result;
-        x.unconfirmed = remains == Remains::Unconfirmed;
-        x.never_ran = matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::Skipped);
+        attempt.unconfirmed = remains == Remains::Unconfirmed;
+        attempt.never_ran = matches!(outcome, Outcome::Full | Outcome::Refused | Outcome::Skipped);
         let open = stmt.answer_timer.is_some();
-        if let Some(node) = self.fleet.as_mut().filter(|_| !parts.is_empty()) {
-            let name = node.execution_ended(now, parts, remains);
-            let write = self.orphans.execution_ended(id, execution, name);
+        if let Some(node) = self.fleet.as_mut().filter(|_| !charges.is_empty()) {
+            let orphan_id = node.execution_ended(now, charges, remains);
+            let write = self.orphans.execution_ended(id, execution, orphan_id);
             self.effects.extend(write.map(Effect::RecordOutstanding));
             self.headroom_changed = true;
             self.publish_headroom(now);
@@ -582,19 +605,19 @@
         self.engine_failures.entry(engine.clone()).and_modify(|n| *n += 1).or_insert(1);
     }
 
-    /// Executions that went wrong since this was last asked, by engine.
+    /// Failed executions by engine since the last call.
     pub fn take_engine_failures(&mut self) -> BTreeMap<Id, u64> {
         std::mem::take(&mut self.engine_failures)
     }
 
-    /// Where a statement may have one execution out at a time, the outcome waits until the engine knows, or the
-    /// statement's time is over: the next execution must not overtake the cancel.
+    /// Cancels an execution. If a statement may have only one in flight, the execution ends once its cancel
+    /// has been delivered or the statement's time is over: the next execution must not overtake the cancel.
     fn stop_execution(&mut self, now: Duration, id: &Id, execution: usize, outcome: Outcome) {
-        let Some(x) = self.in_flight(id, execution) else { return };
-        let (engine, address, stopping) = (x.engine.clone(), x.address, x.stopping);
+        let Some(attempt) = self.in_flight(id, execution) else { return };
+        let (engine, address, stopping) = (attempt.engine.clone(), attempt.address, attempt.stopping);
         let last = self.latest_end(now, id);
         if stopping.is_none() {
-            let cancel = self.cancel_for(x, last.saturating_sub(now));
+            let cancel = self.cancel_for(attempt, last.saturating_sub(now));
             self.effects.push(Effect::Stop { id: id.clone(), execution, engine, address, cancel });
         }
         if !self.one_at_a_time || now >= last {
@@ -602,41 +625,45 @@
             return self.finish_execution(now, id, execution, outcome.into(), Remains::Unconfirmed);
         }
         let at = self.set_timer(last, Timer::Execution(id.clone(), execution));
-        let x = self.statements.get_mut(id).and_then(|s| s.executions.get_mut(execution));
-        let before = x.and_then(|x| {
-            x.stopping = x.stopping.or(Some(outcome));
-            x.timeout_timer.replace(at)
+        let attempt = self.statements.get_mut(id).and_then(|s| s.executions.get_mut(execution));
+        let previous = attempt.and_then(|attempt| {
+            attempt.stopping = attempt.stopping.or(Some(outcome));
+            attempt.timeout_timer.replace(at)
         });
-        before.into_iter().for_each(|before| drop(self.timers.remove(&before)));
+        previous.into_iter().for_each(|previous| drop(self.timers.remove(&previous)));
     }
 
-    /// How the engine of an execution is told to end it, of a statement that has so much time left.
-    fn cancel_for(&self, x: &Execution, left: Duration) -> Cancel {
-        let counted =
-            self.fleet.as_ref().filter(|_| !x.charges.is_empty()).map(|node| node.max_unconfirmed_time());
-        let waits = if self.one_at_a_time { left } else { Duration::ZERO };
-        let within = MIN_CANCEL_WINDOW.max(waits).max(counted.unwrap_or_default());
-        Cancel { arrived: x.arrived, within, awaited: !waits.is_zero() || counted.is_some() }
+    /// How to cancel an execution of a statement that has `time_left`.
+    fn cancel_for(&self, attempt: &Execution, time_left: Duration) -> Cancel {
+        let budget_wait = self
+            .fleet
+            .as_ref()
+            .filter(|_| !attempt.charges.is_empty())
+            .map(|node| node.max_unconfirmed_time());
+        let attempt_wait = if self.one_at_a_time { time_left } else { Duration::ZERO };
+        let within = MIN_CANCEL_WINDOW.max(attempt_wait).max(budget_wait.unwrap_or_default());
+        Cancel { arrived: attempt.arrived, within, awaited: !attempt_wait.is_zero() || budget_wait.is_some() }
     }
 
-    /// Time in which this gateway stood still is no time that an execution was given: it gets as much again, within the
-    /// statement's own time.
+    /// Extends a time-out that fired `late` by as much, within the statement's own time: an execution must
+    /// not time out because the gateway was stalled and did not read its response. Returns whether it did.
     fn extend_timeout(&mut self, now: Duration, late: Duration, id: &Id, execution: usize) -> bool {
         let last = self.latest_end(now, id);
-        if now >= last || self.in_flight(id, execution).is_none_or(|x| x.stopping.is_some()) {
+        if now >= last || self.in_flight(id, execution).is_none_or(|attempt| attempt.stopping.is_some()) {
             return false;
         }
         let at = self.set_timer(last.min(now + late), Timer::Execution(id.clone(), execution));
-        let x = self.statements.get_mut(id).and_then(|s| s.executions.get_mut(execution));
-        x.into_iter().for_each(|x| x.timeout_timer = Some(at));
+        let attempt = self.statements.get_mut(id).and_then(|s| s.executions.get_mut(execution));
+        attempt.into_iter().for_each(|attempt| attempt.timeout_timer = Some(at));
         self.counts.waited_on += 1;
         true
     }
 
-    /// Until when an execution of a statement may be out.
+    /// Until when an execution of a statement may be in flight.
     fn latest_end(&self, now: Duration, id: &Id) -> Duration {
-        let open = self.statements.get(id).and_then(|s| s.answer_timer);
-        open.map_or(now, |(guard, _)| guard.saturating_sub(ANSWER_GUARD + ANSWER_MARGIN + self.tick))
+        let answer_timer = self.statements.get(id).and_then(|s| s.answer_timer);
+        answer_timer
+            .map_or(now, |(expires, _)| expires.saturating_sub(ANSWER_GUARD + ANSWER_MARGIN + self.tick))
     }
 
     fn update_engine_list(&mut self, kind: ListKind, list: Vec<ListedEngine>) {
@@ -653,8 +680,8 @@
         self.events.push_back(Event::EngineList(kind, entries));
     }
 
-    fn timer_expired(&mut self, now: Duration, late: Duration, due: Timer) {
-        match due {
+    fn timer_expired(&mut self, now: Duration, late: Duration, timer: Timer) {
+        match timer {
             Timer::Mark(mark) => self.events.push_back(Event::Timer(mark)),
             Timer::Execution(id, execution) => {
                 if late < STALL_THRESHOLD || !self.extend_timeout(now, late, &id, execution) {
@@ -700,7 +727,8 @@
             Action::Timer { mark, delay } => {
                 self.set_timer(now + delay, Timer::Mark(mark));
             }
-            // The list is always followed: what is asked for is here already, or comes once there is word again.
+            // The list is polled all the time: it is here already, or comes once the name service answers
+            // again.
             Action::RequestList if self.list_silent => {}
             Action::RequestList => {
                 let entries = self.engines.values().map(|listed| listed.entry.clone()).collect();
--- a/crates/gateway/src/reducer/ended.rs
+++ b/crates/gateway/src/reducer/ended.rs
@@ -1,5 +1,5 @@
-//! Statements that have ended a short while ago: another one under the same id has come too late to be refused for an id in use, and is
-//! none of a client that counts its calls.
+//! Statements that ended recently. A different statement under the same id comes too late to be refused as a
+//! duplicate of a held one, but shows that its client doesn't generate unique ids.
 
 use super::io::{EngineRequest, StatementText};
 use bramblewharf::interface::Id;
@@ -7,14 +7,15 @@
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 use std::time::Duration;
 
-/// A call that was on its way while the statement of its id was still held has come by then.
+/// Long enough for a call that was already in transit while the statement with its id was still held.
 const RETENTION: Duration = Duration::from_secs(3);
 
-/// What a statement asks for; none where its text is not here as a whole.
+/// A hash of what a statement asks for; none if its text is not in memory as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fingerprint(Option<u64>);
 
 impl Fingerprint {
+    /// Of a request's workload, key and text.
     pub fn of(engine_request: &EngineRequest) -> Fingerprint {
         let StatementText::Inline(text) = &engine_request.text else { return Fingerprint(None) };
         let mut hasher = DefaultHasher::new();
@@ -23,7 +24,7 @@
     }
 }
 
-/// Bounded in number and time.
+/// The ids and fingerprints of recently ended statements, bounded in number and age.
 pub struct RecentlyEnded {
     capacity: usize,
     by_id: HashMap<Id, (Duration, Fingerprint)>,
@@ -31,21 +32,23 @@
 }
 
 impl RecentlyEnded {
+    /// Holds at most `capacity` statements.
     pub fn new(capacity: usize) -> RecentlyEnded {
         RecentlyEnded { capacity, by_id: HashMap::new(), order: VecDeque::new() }
     }
 
+    /// Remembers a statement that has ended.
     pub fn add(&mut self, now: Duration, id: Id, fingerprint: Fingerprint) {
         self.evict_expired(now);
         self.by_id.insert(id.clone(), (now, fingerprint));
         self.order.push_back((now, id));
     }
 
-    /// Whether it shows that another statement had that id a moment ago.
+    /// Whether a statement with the same id and another fingerprint ended recently.
     pub fn conflicts(&mut self, now: Duration, id: &Id, fingerprint: Fingerprint) -> bool {
         self.evict_expired(now);
-        let before = self.by_id.get(id).and_then(|(_, before)| before.0);
-        before.zip(fingerprint.0).is_some_and(|(before, now)| before != now)
+        let previous = self.by_id.get(id).and_then(|(_, previous)| previous.0);
+        previous.zip(fingerprint.0).is_some_and(|(previous, current)| previous != current)
     }
 
     fn evict_expired(&mut self, now: Duration) {
@@ -53,7 +56,7 @@
             if self.order.len() < self.capacity.max(1) && now < *at + RETENTION {
                 return;
             }
-            // It may have come and ended again since.
+            // A later statement with the same id may have ended since: its entry stays.
             if self.by_id.get(id).is_some_and(|(last, _)| last == at) {
                 self.by_id.remove(id);
             }
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -1,4 +1,4 @@
-//! The reducer's part in a fleet: its budgets, its policy, and what processes before it may have out.
+//! The reducer's side of a fleet: budgets, policy, and executions that previous processes may have in flight.
 
 use super::io::{Cancel, Effect};
 use super::Reducer;
@@ -16,14 +16,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the keeper's word of the process before is waited for until engines are asked instead.
+/// How long to wait for the leader's report on the previous process before engines are probed instead.
 const LEADER_REPLY_WAIT: Duration = Duration::from_millis(250);
 
-/// A gateway's part in its fleet, after whatever process had its place before.
+/// A gateway's membership in its fleet, which it takes over from the previous process with the same member
+/// id.
 pub struct FleetMembership {
     pub start: node::Start,
     pub predecessor: Predecessor,
-    /// The record of what is out, where one is kept.
+    /// The record of outstanding executions, if one is kept.
     pub slots: Option<Slots>,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// The fleet's policy: its machine, and what was last told of what it permits.
+/// The fleet's policy: its state machine, and the permit that the scheduler was last given.
 pub(super) struct Policy {
     pub(super) node: policy::Node,
     pub(super) names: Arc<Names>,
@@ -41,7 +42,7 @@
 }
 
 impl Reducer {
-    /// Takes its part in the fleet, with what a process before it may have out.
+    /// Joins the fleet, and cancels the executions that the previous process may have in flight.
     pub(super) fn join_fleet(&mut self, now: Duration, membership: FleetMembership) {
         let FleetMembership { start, predecessor, slots } = membership;
         self.hearing = match predecessor {
@@ -54,17 +55,18 @@
         let writes = self.orphans.initial_writes(&inherited);
         self.effects.extend(writes.into_iter().map(Effect::RecordOutstanding));
         let cancel = Cancel { arrived: false, within: node.max_unconfirmed_time(), awaited: true };
-        for (Outstanding { id, execution, engine: address, .. }, name) in inherited {
+        for (Outstanding { id, execution, engine: address, .. }, orphan_id) in inherited {
             let id = Id::from(id);
             let engine = Id::from(address.to_string());
-            self.orphans.inherit(id.clone(), execution, name);
+            self.orphans.inherit(id.clone(), execution, orphan_id);
             self.effects.push(Effect::Stop { id, execution, engine, address, cancel });
         }
         self.fleet = Some(Box::new(node));
         self.headroom_changed = true;
     }
 
-    /// Gives the fleet's machine its time, and the decisions what is left now where that has changed.
+    /// Advances the state machines of the fleet and its policy when due, and publishes the headroom if it has
+    /// changed.
     pub(super) fn tick_fleet(&mut self, now: Duration) {
         let Some(node) = &mut self.fleet else { return };
         if self.next_fleet_tick.is_none_or(|due| now >= due) {
@@ -76,7 +78,8 @@
         self.publish_headroom(now);
     }
 
-    /// What can't run any more is dropped, and engines are heard while it is not known what a process before may have out.
+    /// Drops orphans that can't run any more, and probes engines while it is unknown what the previous
+    /// process has in flight.
     pub(super) fn update_orphans(&mut self, now: Duration) {
         let Some(node) = &self.fleet else { return };
         self.effects.extend(self.orphans.remove_expired(node).into_iter().map(Effect::RecordOutstanding));
@@ -90,19 +93,21 @@
         self.effects.extend(next.into_iter().map(probe));
     }
 
+    /// Records the result of a probe; once all engines have confirmed, the budgets' floors are usable.
     pub(super) fn engine_probed(&mut self, now: Duration, has_read: bool) {
         let (Some(hearing), Some(node)) = (&mut self.hearing, &mut self.fleet) else { return };
         hearing.heard(has_read);
         if hearing.is_over() {
             self.hearing = None;
             node.engines_confirmed(now);
-            // The floors are there sooner.
+            // The floors become usable earlier than without the probes.
             self.headroom_changed = true;
             self.publish_headroom(now);
         }
         self.update_orphans(now);
     }
 
+    /// Advances the policy's state machine when due.
     pub(super) fn tick_policy(&mut self, now: Duration) {
         let (Some(policy), Some(node)) = (&mut self.policy, &self.fleet) else { return };
         if now >= policy.node.due(now) {
@@ -111,6 +116,7 @@
         }
     }
 
+    /// Handles a message of the policy's protocol.
     pub(super) fn handle_policy_message(
         &mut self,
         now: Duration,
@@ -120,22 +126,23 @@
     ) {
         let (Some(policy), Some(node)) = (&mut self.policy, &self.fleet) else { return };
         let Some(message) = policy::PolicyMessage::read(bytes) else { return };
-        let (to, place) = match party {
-            Party::Voter(seat) => (node::Recipient::Voter(seat), None),
-            Party::Member(place) => (node::Recipient::Address(from), Some(place)),
+        let (to, member_id) = match party {
+            Party::Voter(voter) => (node::Recipient::Voter(voter), None),
+            Party::Member(member_id) => (node::Recipient::Address(from), Some(member_id)),
             Party::Tool => (node::Recipient::Address(from), None),
         };
-        let effects = policy.node.handle_message(now, to, place, message, node.leader_lease(now));
+        let effects = policy.node.handle_message(now, to, member_id, message, node.leader_lease(now));
         self.apply_policy_effects(now, effects);
     }
 
+    /// Carries out what the policy's state machine asks for, and publishes a changed permit.
     pub(super) fn apply_policy_effects(&mut self, now: Duration, effects: Vec<policy::Effect>) {
         let (Some(policy), Some(node)) = (&mut self.policy, &mut self.fleet) else { return };
         for effect in effects {
             match effect {
                 policy::Effect::Send { to, message } => {
-                    let as_place = matches!(message, policy::PolicyMessage::GrantRequest(_));
-                    let envelope = node.wrap_message(Message::Policy(message.write()), as_place);
+                    let as_member = matches!(message, policy::PolicyMessage::GrantRequest(_));
+                    let envelope = node.wrap_message(Message::Policy(message.write()), as_member);
                     self.effects.push(Effect::SendToFleet { to, envelope });
                 }
                 policy::Effect::Store { generation, bytes } => {
@@ -152,6 +159,7 @@
         self.publish_headroom(now);
     }
 
+    /// Carries out what the fleet's state machine asks for.
     pub(super) fn apply_fleet_effects(&mut self, now: Duration, effects: Vec<node::Effect>) {
         for effect in effects {
             match effect {
@@ -164,11 +172,13 @@
         self.publish_headroom(now);
     }
 
+    /// Notifies the scheduler of the budgets' headroom if it has changed or may have, and plans the next
+    /// tick.
     pub(super) fn publish_headroom(&mut self, now: Duration) {
         let Some(node) = &mut self.fleet else { return };
         if self.headroom_changed || self.next_headroom_update.is_some_and(|due| now >= due) {
             self.headroom_changed = false;
-            // Before whatever else there is news of: nothing is decided by what was left before.
+            // Goes before all pending events, so that none of them is decided by outdated headroom.
             let permitted = self.policy.as_ref().map(|policy| {
                 let (permit, names) = (policy.permit.clone(), policy.names.clone());
                 Arc::new(Permitted { permit, names }) as Arc<dyn AdmissionCheck>
@@ -180,6 +190,7 @@
         self.next_fleet_tick = policy.into_iter().chain([node.due(now)]).min();
     }
 
+    /// The cancel for an execution that has ended here but still counts against budgets, if it does.
     pub(super) fn cancel_unconfirmed(&self, id: &Id, execution: usize) -> Option<Cancel> {
         let node = self.fleet.as_ref()?;
         self.orphans.contains(id, execution).then(|| Cancel {
@@ -189,6 +200,7 @@
         })
     }
 
+    /// Applies what has become known of an execution that ended here before.
     pub(super) fn settle_orphan(&mut self, now: Duration, id: &Id, execution: usize, remains: Remains) {
         let Some(node) = &mut self.fleet else { return };
         let Some(write) = self.orphans.settle(now, node, (id, execution), remains) else { return };
@@ -197,7 +209,8 @@
         self.publish_headroom(now);
     }
 
-    /// What was rejected for want of leave is a need to be told.
+    /// Reports the demand of a statement that was rejected for lack of budget, so that the fleet can grant
+    /// more.
     pub(super) fn report_refusal(&mut self, now: Duration, id: &Id) {
         let (Some(node), Some(stmt)) = (&mut self.fleet, self.statements.get(id)) else { return };
         let (workload, customer, mem_mb) = stmt.budget_key;
--- a/crates/gateway/src/reducer/io.rs
+++ b/crates/gateway/src/reducer/io.rs
@@ -71,7 +71,8 @@
         has_read: bool,
     },
     EngineList(ListKind, Vec<ListedEngine>),
-    /// The name service was polled just now. If it confirmed the list: the time of the question that it answered.
+    /// The name service was polled just now. If it confirmed the list: the time of the question that it
+    /// answered.
     ListPolled(Option<Duration>),
     /// The name service returned a list with a lower number than the current one.
     ListConflict(Vec<ListedEngine>),
@@ -101,12 +102,14 @@
 pub enum CancelOutcome {
     /// The engine had received the execution and has ended it.
     Over,
-    /// The engine answers, but nothing shows that it received the execution, which may wait unread in a connection.
+    /// The engine answers, but nothing shows that it received the execution, which may wait unread in a
+    /// connection.
     Unread,
     /// The engine refused the connection: its process is gone.
     Gone,
-    /// No connection to the engine's machine could be made for the whole orphan retention, or until the engine answered again without
-    /// knowing the execution. The connection was reset: what the engine had not received by then never arrives.
+    /// No connection to the engine's machine could be made for the whole orphan retention, or until the
+    /// engine answered again without knowing the execution. The connection was reset: what the engine had not
+    /// received by then never arrives.
     CutOff,
     /// The engine did not answer.
     Unknown,
@@ -127,7 +130,8 @@
     pub pages: Vec<Bytes>,
     pub consumed: Option<(Duration, f64)>,
     pub report: Option<LoadReport>,
-    /// The connection fell silent and nothing shows that the engine has read the execution: it may still start it.
+    /// The connection fell silent and nothing shows that the engine has read the execution: it may still
+    /// start it.
     pub unread: bool,
 }
 
@@ -208,7 +212,7 @@
     pub arrived: bool,
     /// How long the cancel is retried while the engine does not answer.
     pub within: Duration,
-    /// Something waits for the end of the execution. Until it has arrived, the engine is asked for it instead: a cancel that is read
-    /// first would hide whether the execution is still to come.
+    /// Something waits for the end of the execution. Until it has arrived, the engine is asked for it
+    /// instead: a cancel that is read first would hide whether the execution is still to come.
     pub awaited: bool,
 }
