--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::{config, operators, policy_cli, view, Gateway, Ports};
+use crate::{config, operators, policy_cli, view, Gateway, Overrides};
 use clap::{Parser, Subcommand};
 use signal_hook::consts::SIGHUP;
 use slog::{Drain as _, Level, LevelFilter, Logger};
@@ -47,7 +47,7 @@
 /// Runs the program: 0 where it did what it was told, 1 where it could not, 2 for a bad command line.
 pub fn run() -> ExitCode {
     let done = match Line::parse().command {
-        Command::Serve { config, settings } => serve(config, settings, Ports::default()),
+        Command::Serve { config, settings } => serve(config, settings, Overrides::default()),
         Command::Policy(command) => match policy_cli::run(&command) {
             Ok(code) => return code,
             Err(message) => Err(message),
@@ -101,7 +101,7 @@
 }
 
 /// Serves until it is told to end.
-pub fn serve(path: Option<PathBuf>, settings: Option<PathBuf>, ports: Ports) -> Result<(), String> {
+pub fn serve(path: Option<PathBuf>, settings: Option<PathBuf>, overrides: Overrides) -> Result<(), String> {
     // Before all else: a SIGHUP that comes before the gateway serves must not end it, nor get lost.
     let hung_up = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGHUP, hung_up.clone()).map_err(|e| format!("signals: {e}"))?;
@@ -112,7 +112,8 @@
         let heard = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
         let (mut term, mut interrupt) = (heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?);
         let mut hangup = heard(SignalKind::hangup())?;
-        let gateway = Gateway::start_with(start, log.clone(), ports).await.map_err(|e| e.to_string())?;
+        let gateway =
+            Gateway::start_with_overrides(start, log.clone(), overrides).await.map_err(|e| e.to_string())?;
         let reload = || match config::load(path.clone(), settings.as_deref()) {
             Ok(start) => gateway.reload(start),
             Err(message) => slog::error!(log, "configuration not reloaded: {}", message),
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -5,7 +5,7 @@
 use crate::config::Bounds;
 use crate::connection::{is_quiet, Connection, Connections, Stream};
 use crate::reducer::{AfterCancel, Cancel, Ending, Parcel, Text, CANCEL_WITHIN};
-use crate::upload::{Sending, Upload};
+use crate::upload::{UploadBody, UploadWatch};
 use actix_rt::net::TcpStream;
 use actix_rt::time::{sleep, timeout};
 use actix_service::fn_service;
@@ -539,8 +539,8 @@
                 }
                 Text::Body(body) => {
                     let Some(outgoing) = body.start_sending() else { return Call::NoRoom };
-                    let upload = Upload::new(&outgoing, connection.clone());
-                    let sent = request.send_body(Sending::new(outgoing, upload.cut()));
+                    let upload = UploadWatch::new(&outgoing, connection.clone());
+                    let sent = request.send_body(UploadBody::new(outgoing, upload.stop_signal()));
                     upload.watch(within, may.arrive, self.reply(sent)).await
                 }
             };
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/frontend.rs
@@ -62,7 +62,7 @@
 const NEXT_WITHIN: Duration = Duration::from_secs(2);
 
 /// What the accept loop and the closing gateway know of the connections.
-pub struct Front {
+pub struct Frontend {
     pub connections: Rc<Connections>,
     open: Cell<usize>,
     closed: Notify,
@@ -77,8 +77,8 @@
     pub begun: Cell<u64>,
 }
 
-impl Front {
-    pub fn new(bounds: &Bounds) -> Rc<Front> {
+impl Frontend {
+    pub fn new(bounds: &Bounds) -> Rc<Frontend> {
         let connections = Rc::new(Connections::of_clients(bounds.clients / 16, HEAD_WITHIN, IDLE));
         // Answers are kept for a while after they were given.
         let sessions = Rc::new(Sessions::new(2 * bounds.stmts));
@@ -86,7 +86,7 @@
         let (leaving, leave) = (Cell::new(false), Notify::new());
         let (most, closed) = (bounds.clients, Notify::new());
         let crowded = Cell::new(false);
-        Rc::new(Front { connections, open, closed, most, crowded, leaving, leave, sessions, begun })
+        Rc::new(Frontend { connections, open, closed, most, crowded, leaving, leave, sessions, begun })
     }
 
     /// Takes what waits to be accepted, and no more.
@@ -317,7 +317,7 @@
         Text::Whole(text) => said.table_group = tables::group(text),
         Text::Body(body) => {
             said.replayable = rest.is_none();
-            said.table_group = tables::group_of_part(&body.take_prefix());
+            said.table_group = tables::group_of_prefix(&body.take_prefix());
             unkept = Some(body.not_kept());
         }
     }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -2,7 +2,7 @@
 //! engine. It reads, and decides nothing: where a text goes is the ledger's to say.
 
 use crate::connection::Connection;
-use crate::front::{close_behind, next, refusal, Refused, AHEAD, STATEMENTS};
+use crate::frontend::{close_behind, next, refusal, Refused, AHEAD, STATEMENTS};
 use crate::reducer::Answer;
 use crate::runtime::Core;
 use actix_http::body::BoxBody;
--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/src/reducer.rs
@@ -5,9 +5,9 @@
 mod fleet;
 mod io;
 
-use crate::hearing::Hearing;
 use crate::invariants::{Broken, Invariant};
 use crate::policy::Names;
+use crate::predecessor_check::PredecessorCheck;
 use crate::unsettled::Unsettled;
 use bramblewharf::interface::*;
 use bramblewharf::scheduler::{Refusal, Rule, Scheduler};
@@ -146,7 +146,7 @@
     /// Executions that have ended here and may yet run unheard, while the budgets count them.
     unsettled: Unsettled,
     /// Engines that have yet to show that they have read what a process before this one sent.
-    hearing: Option<Hearing>,
+    predecessor_check: Option<PredecessorCheck>,
     /// Emptied whenever it is logged.
     ill: BTreeMap<Id, u64>,
     pub counts: Counts,
@@ -208,7 +208,7 @@
             news: VecDeque::new(),
             effects: Vec::new(),
             unsettled: Unsettled::default(),
-            hearing: None,
+            predecessor_check: None,
             ill: BTreeMap::new(),
             counts: Counts::default(),
             refusals: BTreeMap::new(),
@@ -625,7 +625,7 @@
         self.silent = kind == ListKind::Failed;
         self.listed |= kind != ListKind::Failed;
         let entries = list.iter().map(|listed| listed.entry.clone()).collect();
-        self.hearing.iter_mut().for_each(|hearing| hearing.listed(list.iter()));
+        self.predecessor_check.iter_mut().for_each(|check| check.add_engines(list.iter()));
         for listed in list {
             self.engines.insert(listed.entry.id.clone(), listed);
         }
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -2,8 +2,8 @@
 
 use super::io::{Cancel, Effect};
 use super::Reducer;
-use crate::hearing::Hearing;
 use crate::policy::{Names, Permitted};
+use crate::predecessor_check::PredecessorCheck;
 use crate::unsettled::Unsettled;
 use bramblewharf::interface::{Event, Id};
 use bramblewharf_budgets::{AdmissionCheck, Demand};
@@ -44,10 +44,10 @@
     /// Takes its part in the fleet, with what a process before it may have out.
     pub(super) fn join(&mut self, now: Duration, part: Part) {
         let Part { start, predecessor, slots } = part;
-        self.hearing = match predecessor {
+        self.predecessor_check = match predecessor {
             Predecessor::Ended => None,
-            Predecessor::Unknown => Some(Hearing::start(now)),
-            Predecessor::Recorded(_) => Some(Hearing::start(now + KEEPER_FIRST)),
+            Predecessor::Unknown => Some(PredecessorCheck::start(now)),
+            Predecessor::Recorded(_) => Some(PredecessorCheck::start(now + KEEPER_FIRST)),
         };
         let (node, inherited) = Node::start_after(start, predecessor, now);
         self.unsettled = Unsettled::with_record(slots);
@@ -81,20 +81,20 @@
         let Some(node) = &self.fleet else { return };
         self.effects.extend(self.unsettled.look(node).into_iter().map(Effect::Record));
         if node.counts_everything() {
-            self.hearing = None;
+            self.predecessor_check = None;
         }
         let (within, name) =
             (node.max_unconfirmed_time(), Id::from(format!("{:016x}", node.incarnation().0)));
-        let next = self.hearing.as_mut().map(|hearing| hearing.next(now)).unwrap_or_default();
+        let next = self.predecessor_check.as_mut().map(|check| check.next_probes(now)).unwrap_or_default();
         let hear = |address| Effect::Hear { address, name: name.clone(), within };
         self.effects.extend(next.into_iter().map(hear));
     }
 
     pub(super) fn engine_heard(&mut self, now: Duration, has_read: bool) {
-        let (Some(hearing), Some(node)) = (&mut self.hearing, &mut self.fleet) else { return };
-        hearing.heard(has_read);
-        if hearing.is_over() {
-            self.hearing = None;
+        let (Some(check), Some(node)) = (&mut self.predecessor_check, &mut self.fleet) else { return };
+        check.probe_ended(has_read);
+        if check.is_complete() {
+            self.predecessor_check = None;
             node.engines_confirmed(now);
             // The floors are there sooner.
             self.room_changed = true;
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -4,7 +4,7 @@
 use crate::connection::Connections;
 use crate::engines::{Engines, Heard, Job, May};
 use crate::fleet::{machine_time, Link};
-use crate::front::Front;
+use crate::frontend::Frontend;
 use crate::invariants::Invariant;
 use crate::names::{Asker, Known, Word};
 use crate::operators::{self, Bodies};
@@ -57,18 +57,18 @@
 const READ_OUT: Duration = Duration::from_millis(100);
 
 /// A clock that counts on while the machine sleeps; or, in tests, one that is wrong on purpose.
-pub type Ticks = Rc<dyn Fn() -> Duration>;
+pub type ClockSource = Rc<dyn Fn() -> Duration>;
 
 /// The Unix time as it was at the start, and one clock from then on, which no correction moves. In a fleet that clock counts on
 /// while the machine sleeps, so that no leave outlasts its end.
 struct Clock {
     at_start: Duration,
     start: Instant,
-    ticks: Option<(Ticks, Duration)>,
+    ticks: Option<(ClockSource, Duration)>,
 }
 
 impl Clock {
-    fn new(ticks: Option<Ticks>) -> Clock {
+    fn new(ticks: Option<ClockSource>) -> Clock {
         let at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let ticks = ticks.map(|ticks| (ticks.clone(), ticks()));
         Clock { at_start, start: Instant::now(), ticks }
@@ -97,14 +97,14 @@
 
 /// What a gateway may be given beside its configuration.
 #[derive(Default)]
-pub struct Ports {
+pub struct Overrides {
     /// Files for bodies go here, instead of the folder that the operators name.
     pub disk: Option<Arc<dyn Disk>>,
     /// The clock of a gateway in a fleet.
-    pub ticks: Option<Ticks>,
+    pub clock: Option<ClockSource>,
     /// A known mistake in what it does in a fleet, to see that checkers find it.
-    pub wrong: Option<InjectedBug>,
-    pub wrong_policy: Option<bramblewharf_policy::InjectedBug>,
+    pub injected_bug: Option<InjectedBug>,
+    pub injected_policy_bug: Option<bramblewharf_policy::InjectedBug>,
 }
 
 /// Several reloads may come before the first is taken in: the last word on each counts.
@@ -460,7 +460,7 @@
 /// `actix_rt::System`; dropping it ends its tasks.
 pub struct Gateway {
     core: Rc<Core>,
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     tasks: Vec<JoinHandle<()>>,
     address: SocketAddr,
     leave_within: Duration,
@@ -475,16 +475,24 @@
 impl Gateway {
     /// Binds all its addresses before anything else; where one cannot be had, nothing is left behind.
     pub async fn start(start: Start, log: Logger) -> io::Result<Gateway> {
-        Gateway::start_on(start, log, None).await
+        Gateway::start_with_disk(start, log, None).await
     }
 
     /// With files for bodies on that disk, where it is given, instead of the folder that the operators name.
-    pub async fn start_on(start: Start, log: Logger, disk: Option<Arc<dyn Disk>>) -> io::Result<Gateway> {
-        Gateway::start_with(start, log, Ports { disk, ..Ports::default() }).await
+    pub async fn start_with_disk(
+        start: Start,
+        log: Logger,
+        disk: Option<Arc<dyn Disk>>,
+    ) -> io::Result<Gateway> {
+        Gateway::start_with_overrides(start, log, Overrides { disk, ..Overrides::default() }).await
     }
 
-    pub async fn start_with(start: Start, log: Logger, ports: Ports) -> io::Result<Gateway> {
-        let Ports { disk, ticks, wrong, wrong_policy } = ports;
+    pub async fn start_with_overrides(
+        start: Start,
+        log: Logger,
+        overrides: Overrides,
+    ) -> io::Result<Gateway> {
+        let Overrides { disk, clock, injected_bug, injected_policy_bug } = overrides;
         let named = |what: &str, address: &dyn std::fmt::Display, e: io::Error| {
             io::Error::new(e.kind(), format!("{what}: {address}: {e}"))
         };
@@ -507,8 +515,8 @@
         };
         let asker = Asker::start(start.names, start.known.no, start.seed, log.clone())?;
         let in_force = RefCell::new((start.names, start.peers.clone()));
-        let ticks = start.fleet.is_some().then(|| ticks.unwrap_or_else(|| Rc::new(machine_time)));
-        let clock = Clock::new(ticks);
+        let source = start.fleet.is_some().then(|| clock.unwrap_or_else(|| Rc::new(machine_time)));
+        let clock = Clock::new(source);
         let (one_at_a_time, idle) = (!start.site.concurrent_executions, start.engine_idle);
         let (bounds, words) = (start.bounds.clone(), start.words.clone());
         let engines = Engines::new(bounds, words, start.dial_timeout, idle, one_at_a_time);
@@ -529,15 +537,13 @@
             None => (None, None),
         };
         let of_policy = of_policy.map(|mut terms| {
-            terms.start.terms.injected_bug = wrong_policy;
+            terms.start.terms.injected_bug = injected_policy_bug;
             (terms.start, terms.names)
         });
         let record_path = start.fleet.as_ref().and_then(|terms| terms.outstanding_file.clone());
         let part = start.fleet.map(|terms| {
-            let start = node::Start {
-                config: FleetConfig { injected_bug: wrong, ..terms.start.config },
-                ..terms.start
-            };
+            let start =
+                node::Start { config: FleetConfig { injected_bug, ..terms.start.config }, ..terms.start };
             let kept = record_path.as_deref().map(|path| record_file::read(path, &start, &log));
             let (predecessor, slots) =
                 kept.map_or((Predecessor::Unknown, None), |(p, slots)| (p, Some(slots)));
@@ -598,7 +604,7 @@
             // What the configuration holds was told with it.
             core.input(Input::ListAsked(Some(core.clock.now())));
         }
-        let front = Front::new(&core.bounds);
+        let front = Frontend::new(&core.bounds);
         slog::info!(core.log, "serving"; "name" => start.name, "listen" => %address,
             "bounds" => ?core.bounds);
         let mut tasks =
@@ -680,7 +686,7 @@
     }
 
     /// What is held of texts beyond the ordinary size, and what has been since the start.
-    pub fn bodies(&self) -> BodyCounts {
+    pub fn body_counts(&self) -> BodyCounts {
         self.core.bodies.counts()
     }
 
@@ -729,7 +735,7 @@
     }
 
     /// Returns once no statement has begun to come for so long, none is open, no answer is owed and `more` holds, or no time is left.
-    async fn quiet(&self, for_: Duration, more: impl Fn(&Front) -> bool, left: impl Fn() -> Duration) {
+    async fn quiet(&self, for_: Duration, more: impl Fn(&Frontend) -> bool, left: impl Fn() -> Duration) {
         let mut last = (self.front.begun.get(), Instant::now());
         while !left().is_zero() {
             sleep(LOOK).await;
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -24,7 +24,7 @@
 /// None where the text names no group; what comes behind a place that cannot be read is passed over.
 pub fn group(statement: &[u8]) -> Option<u64> {
     // Most name their tables at once, and what follows in a long one may be rows without end.
-    let first = statement.get(..BEGINNING).and_then(group_of_part);
+    let first = statement.get(..BEGINNING).and_then(group_of_prefix);
     first.or_else(|| find(statement, true))
 }
 
@@ -70,7 +70,7 @@
 
 /// Of the first part of a text: none rather than a wrong one, so what the cut may have shortened does not count, and no name
 /// that only might be a table's.
-pub fn group_of_part(part: &[u8]) -> Option<u64> {
+pub fn group_of_prefix(part: &[u8]) -> Option<u64> {
     let whole = part.iter().rposition(|byte| byte.is_ascii_whitespace())?;
     find(&part[..whole], false)
 }
--- a/crates/gateway/src/upload.rs
+++ b/crates/gateway/src/upload.rs
@@ -25,26 +25,26 @@
 
 /// Set once the engine has answered: nothing more is written.
 #[derive(Default)]
-pub struct Cut {
+pub struct StopSignal {
     cut: Cell<bool>,
     waker: Cell<Option<Waker>>,
 }
 
 /// The body of a call, as awc wants it.
-pub struct Sending {
+pub struct UploadBody {
     outgoing: Outgoing,
-    cut: Rc<Cut>,
+    cut: Rc<StopSignal>,
     left: Option<u64>,
 }
 
-impl Sending {
-    pub fn new(outgoing: Outgoing, cut: Rc<Cut>) -> Sending {
+impl UploadBody {
+    pub fn new(outgoing: Outgoing, cut: Rc<StopSignal>) -> UploadBody {
         let left = outgoing.length();
-        Sending { outgoing, cut, left }
+        UploadBody { outgoing, cut, left }
     }
 }
 
-impl MessageBody for Sending {
+impl MessageBody for UploadBody {
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
@@ -68,18 +68,18 @@
 }
 
 /// Who watches over it.
-pub struct Upload {
+pub struct UploadWatch {
     pace: Rc<Progress>,
     connection: Rc<Connection>,
-    cut: Rc<Cut>,
+    cut: Rc<StopSignal>,
 }
 
-impl Upload {
-    pub fn new(outgoing: &Outgoing, connection: Rc<Connection>) -> Upload {
-        Upload { pace: outgoing.progress.clone(), connection, cut: Rc::default() }
+impl UploadWatch {
+    pub fn new(outgoing: &Outgoing, connection: Rc<Connection>) -> UploadWatch {
+        UploadWatch { pace: outgoing.progress.clone(), connection, cut: Rc::default() }
     }
 
-    pub fn cut(&self) -> Rc<Cut> {
+    pub fn stop_signal(&self) -> Rc<StopSignal> {
         self.cut.clone()
     }
 
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -65,12 +65,12 @@
             actix_rt::System::new().block_on(async {
                 let start = config::read_with(&configuration, None, None, operators).unwrap();
                 let log = slog::Logger::root(slog::Discard, slog::o!());
-                let gateway = Gateway::start_on(start, log, disk).await.unwrap();
+                let gateway = Gateway::start_with_disk(start, log, disk).await.unwrap();
                 told.send(gateway.address()).unwrap();
                 loop {
                     tokio::select! {
                         _ = &mut stopped => break,
-                        Some(told) = asked.recv() => drop(told.send(gateway.bodies())),
+                        Some(told) = asked.recv() => drop(told.send(gateway.body_counts())),
                         Some((newer, operators)) = reloaded.recv() => {
                             gateway.reload(config::read_with(&newer, None, None, operators).unwrap());
                         }
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -50,7 +50,7 @@
         let all = bramblewharf_gateway::tables::group(text.as_bytes());
         assert!(all.is_some(), "{text}");
         for at in 0..=text.len() {
-            let part = bramblewharf_gateway::tables::group_of_part(&text.as_bytes()[..at]);
+            let part = bramblewharf_gateway::tables::group_of_prefix(&text.as_bytes()[..at]);
             assert!(part.is_none() || part == all, "{part:?} of {}", &text[..at]);
         }
         let long = format!("{text}\n{}", "/* rows */ ".repeat(1000));
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,7 +1,7 @@
 //! Campaigns against fleets: many plans of faults, and the smallest that breaks something.
 
 use bramblewharf_fleet::InjectedBug;
-use bramblewharf_gateway::{cli, machine_time, policy_cli, Ports};
+use bramblewharf_gateway::{cli, machine_time, policy_cli, Overrides};
 use bramblewharf_rig::campaign;
 use bramblewharf_rig::counted::Counting;
 use bramblewharf_rig::plan::{draw, kinds, smaller, Plan};
@@ -200,8 +200,13 @@
         Mistake::SkipsBoth => None,
     });
     let ticks = (fast != 0).then(|| Rc::new(ticks) as _);
-    let ports = Ports { ticks, wrong, wrong_policy, ..Ports::default() };
-    match cli::serve(Some(config), settings, ports) {
+    let overrides = Overrides {
+        clock: ticks,
+        injected_bug: wrong,
+        injected_policy_bug: wrong_policy,
+        ..Overrides::default()
+    };
+    match cli::serve(Some(config), settings, overrides) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("bramblewharf-rig: {message}");
