--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -1,10 +1,10 @@
-//! The clients' side: HTTP by actix-http. It turns calls into the reducer's inputs and answers into calls'
-//! answers, and decides nothing.
+//! HTTP frontend for clients, built on actix-http. It translates calls into inputs of the reducer and the
+//! reducer's answers into HTTP responses, and makes no decisions of its own.
 
 use crate::closes::CloseReason;
 use crate::config::Bounds;
 use crate::connection::{Connection, Connections, Stream};
-use crate::intake::{self, Came};
+use crate::intake::{self, Received};
 use crate::reducer::{Answer, Input, Parcel, Taken, Text};
 use crate::runtime::Core;
 use crate::sessions::Sessions;
@@ -28,371 +28,427 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Clients close idle connections after 4 s; one that does not is closed after this.
-const IDLE: Duration = Duration::from_secs(5);
-/// A call's head has come whole within this of its first byte, the first one on a connection of the connecting itself, and
-/// its text within the second: nobody is owed more patience than 3 s.
-const HEAD_WITHIN: Duration = Duration::from_millis(2000);
-const TEXT_WITHIN: Duration = Duration::from_millis(2200);
-/// How long the rest of a text is read before the connection is shut behind a refusal (actix-http's clock goes by steps of
-/// 500 ms, and a timer that is over when it is set never fires), and until one is closed on which more calls came behind.
-const UNREAD: Duration = Duration::from_millis(600);
-const BEHIND: Duration = Duration::from_millis(50);
-/// What a client may send ahead while it waits, and the head of a call.
-pub const AHEAD: usize = 16 * 1024;
-/// How long until room is made again at the bound of connections; how long one must have asked nothing to make it, and how
-/// long one that has asked must rest: longer than usual clients pause, or a flood of silent ones costs theirs first.
-const AT_BOUND: Duration = Duration::from_millis(10);
-const SETTLED: Duration = Duration::from_millis(20);
-const RESTED: Duration = Duration::from_millis(250);
-const LONGEST_NAME: usize = 128;
-/// Times what the settings say that clients of a workload wait, beyond which no client of it waits.
-const LONGER: f64 = 2.0;
-/// And whatever they say, nobody waits for more than a day.
-const LONGEST_WAIT_MS: f64 = 24.0 * 3600.0 * 1e3;
-/// Beyond these an estimate is no estimate, whatever the engines are.
-const LONGEST_WORK_MS: f64 = 1e8;
-const MOST_MEM_MB: f64 = 1e7;
-const HEALTH: &str = "/status/live";
-pub const STATEMENTS: &str = "/svc/";
-/// Where a client comes back for the answer of a statement that takes longer than the first time; it is then held for
-/// so long as the second, if there is no answer yet.
-const NEXT: &str = "next/";
-const FIRST_WITHIN: Duration = Duration::from_millis(250);
-const NEXT_WITHIN: Duration = Duration::from_secs(2);
+/// Clients close idle connections after 4 s; a connection that is still open after this time is closed here.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest time for the head of a call, from its first byte, or from the accept for the first call on a
+/// connection. Together with `BODY_TIMEOUT` it stays below the 3 s that a client may expect at most.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Longest time for the body of a call, from the first byte of its head.
+const BODY_TIMEOUT: Duration = Duration::from_millis(2200);
+/// How long the rest of a body is read after an error response before the connection is shut down.
+/// actix-http's clock has a resolution of 500 ms, and a timer that has already expired when it is set never
+/// fires.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// Delay before a connection is closed on which more calls followed a refused one.
+const CONDEMNED_CLOSE_DELAY: Duration = Duration::from_millis(50);
+/// Bytes a client may send ahead while it waits for an answer; also the bound for the head of a call.
+pub const READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Interval at which connections are closed while the connection limit is reached.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(10);
+/// Age from which a connection that has carried no call may be closed at the limit.
+const UNUSED_MIN_AGE: Duration = Duration::from_millis(20);
+/// Idle time from which a connection that has carried calls may be closed at the limit. It is longer than the
+/// usual pause of clients; otherwise a flood of silent connections would evict theirs first.
+const USED_MIN_IDLE: Duration = Duration::from_millis(250);
+/// Longest operation key, in bytes.
+const MAX_KEY_LENGTH: usize = 128;
+/// Factor over the client wait in a workload's settings up to which a deadline is accepted.
+const DEADLINE_TOLERANCE: f64 = 2.0;
+/// Longest accepted deadline (one day), whatever the settings are.
+const MAX_DEADLINE_MS: f64 = 24.0 * 3600.0 * 1e3;
+/// Largest accepted estimate of a statement's work.
+const MAX_ESTIMATE_MS: f64 = 1e8;
+/// Largest accepted estimate of a statement's memory.
+const MAX_MEMORY_MB: f64 = 1e7;
+/// Path of the liveness check.
+const HEALTH_PATH: &str = "/status/live";
+/// Path prefix of statements.
+pub const STATEMENTS_PREFIX: &str = "/svc/";
+/// Path prefix, below `STATEMENTS_PREFIX`, at which a client polls for the answer of a statement.
+const RESULT_PREFIX: &str = "next/";
+/// A statement without an answer after this time is answered with a link to poll.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long a poll is held open while there is no answer.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the accept loop and the closing gateway know of the connections.
+/// Connections and sessions of clients, shared by the accept loop and the shutdown.
 pub struct Frontend {
+    /// Connections of clients.
     pub connections: Rc<Connections>,
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
+    /// A connection has closed.
     closed: Notify,
-    most: usize,
-    /// New connections wait while all are in use: each makes room once it has its answer.
-    crowded: Cell<bool>,
-    /// No new connections are taken but those that wait to be.
-    leaving: Cell<bool>,
-    leave: Notify,
+    max_connections: usize,
+    /// New connections wait while all are in use: each one is closed after its answer to make room.
+    at_limit: Cell<bool>,
+    /// Only connections that already wait in the accept queue are still accepted.
+    stopping: Cell<bool>,
+    stop: Notify,
+    /// Statements whose clients poll for the answer.
     pub sessions: Rc<Sessions>,
-    /// Statements that began to come since the start.
-    pub begun: Cell<u64>,
+    /// Number of statements that began to arrive since the start.
+    pub statements_begun: Cell<u64>,
 }
 
 impl Frontend {
+    /// A frontend without connections.
     pub fn new(bounds: &Bounds) -> Rc<Frontend> {
-        let connections = Rc::new(Connections::of_clients(bounds.clients / 16, HEAD_WITHIN, IDLE));
-        // Answers are kept for a while after they were given.
+        let connections = Rc::new(Connections::of_clients(bounds.clients / 16, HEAD_TIMEOUT, IDLE_TIMEOUT));
+        // Twice the statements in progress, since answers are kept for a while after they were given.
         let sessions = Rc::new(Sessions::new(2 * bounds.stmts));
-        let (open, begun) = (Cell::new(0), Cell::new(0));
-        let (leaving, leave) = (Cell::new(false), Notify::new());
-        let (most, closed) = (bounds.clients, Notify::new());
-        let crowded = Cell::new(false);
-        Rc::new(Frontend { connections, open, closed, most, crowded, leaving, leave, sessions, begun })
+        let (open_connections, statements_begun) = (Cell::new(0), Cell::new(0));
+        let (stopping, stop) = (Cell::new(false), Notify::new());
+        let (max_connections, closed) = (bounds.clients, Notify::new());
+        let at_limit = Cell::new(false);
+        Rc::new(Frontend {
+            connections,
+            open_connections,
+            closed,
+            max_connections,
+            at_limit,
+            stopping,
+            stop,
+            sessions,
+            statements_begun,
+        })
     }
 
-    /// Takes what waits to be accepted, and no more.
+    /// Ends the accept loop once the connections in the accept queue have been accepted.
     pub fn stop_accepting(&self) {
-        self.leaving.set(true);
-        self.leave.notify_one();
+        self.stopping.set(true);
+        self.stop.notify_one();
         self.closed.notify_one();
     }
 
-    /// Accepts until it is told to stop.
+    /// Accepts connections until `stop_accepting` is called.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, core: Rc<Core>) -> io::Result<()> {
-        let served = core.clone();
+        let call_core = core.clone();
         let this = self.clone();
-        let asked = core.clone();
+        let admission_core = core.clone();
         let service = HttpService::<Stream, _, _>::build()
-            .keep_alive(IDLE)
-            .client_request_timeout(HEAD_WITHIN)
-            .client_disconnect_timeout(UNREAD)
+            .keep_alive(IDLE_TIMEOUT)
+            .client_request_timeout(HEAD_TIMEOUT)
+            .client_disconnect_timeout(DISCONNECT_TIMEOUT)
             .h1_allow_half_closed(true)
             .on_connect_ext(|link: &Stream, ext: &mut actix_http::Extensions| {
                 ext.insert(link.0.clone());
             })
             .expect(fn_service(move |request: Request| {
-                let room = intake::has_room(&asked, &request);
-                std::future::ready(match room {
+                let admission = intake::check_admission(&admission_core, &request);
+                std::future::ready(match admission {
                     Ok(()) => Ok(request),
-                    Err(refused) => Err(refused),
+                    Err(response) => Err(response),
                 })
             }))
             .finish(
                 fn_service(move |request: Request| {
-                    let (front, core) = (this.clone(), served.clone());
-                    async move { Ok::<_, Infallible>(front.call(core, request).await) }
+                    let (frontend, core) = (this.clone(), call_core.clone());
+                    async move { Ok::<_, Infallible>(frontend.handle_call(core, request).await) }
                 })
                 .into_factory(),
             );
         let service = service.new_service(()).await.map_err(|()| io::Error::other("no service"))?;
         let service = Rc::new(service);
-        let mut refused = false;
-        while !self.leaving.get() {
-            // At the bound one that no call is open on makes room; where all are in use, new ones wait for one to have its answer.
-            while !self.leaving.get() && self.open.get() + self.connections.linger.count() >= self.most {
-                self.crowded.set(!self.connections.close_least_used(SETTLED, RESTED));
-                let _ = timeout(AT_BOUND, self.closed.notified()).await;
+        let mut accept_failed = false;
+        while !self.stopping.get() {
+            // At the limit an idle connection is closed to make room; if all are in use, new ones wait until
+            // one has its answer.
+            while !self.stopping.get()
+                && self.open_connections.get() + self.connections.linger.count() >= self.max_connections
+            {
+                self.at_limit.set(!self.connections.close_least_used(UNUSED_MIN_AGE, USED_MIN_IDLE));
+                let _ = timeout(EVICTION_INTERVAL, self.closed.notified()).await;
             }
-            self.crowded.set(false);
+            self.at_limit.set(false);
             let accepted = tokio::select! {
                 biased;
-                () = self.leave.notified() => break,
+                () = self.stop.notified() => break,
                 accepted = listener.accept() => accepted,
             };
             match accepted {
                 Ok((stream, from)) => {
-                    refused = false;
-                    self.clone().connect(&service, stream, from, &core);
+                    accept_failed = false;
+                    self.clone().serve_connection(&service, stream, from, &core);
                 }
                 Err(error) => {
-                    if !std::mem::replace(&mut refused, true) {
+                    if !std::mem::replace(&mut accept_failed, true) {
                         slog::warn!(core.log, "connection not accepted"; "error" => %error);
                     }
-                    // Most likely for want of descriptors, whatever the bound is: idle connections make room.
-                    self.connections.close_least_used(SETTLED, RESTED);
+                    // Most likely the process is out of file descriptors: closing an idle connection frees
+                    // one.
+                    self.connections.close_least_used(UNUSED_MIN_AGE, USED_MIN_IDLE);
                     sleep(Duration::from_millis(20)).await;
                 }
             }
         }
-        // The machine has taken these already: closing the listener would reset them, with a call on them.
+        // The kernel has already accepted these connections: closing the listener would reset them along with
+        // their calls.
         let listener = listener.into_std()?;
         while let Ok((stream, from)) = listener.accept() {
             stream.set_nonblocking(true)?;
-            self.clone().connect(&service, TcpStream::from_std(stream)?, from, &core);
+            self.clone().serve_connection(&service, TcpStream::from_std(stream)?, from, &core);
         }
         Ok(())
     }
 
-    fn connect<S>(self: Rc<Self>, service: &Rc<S>, stream: TcpStream, from: SocketAddr, core: &Rc<Core>)
-    where
+    fn serve_connection<S>(
+        self: Rc<Self>,
+        service: &Rc<S>,
+        stream: TcpStream,
+        from: SocketAddr,
+        core: &Rc<Core>,
+    ) where
         S: actix_service::Service<(Stream, Protocol, Option<SocketAddr>), Error = DispatchError> + 'static,
     {
         let core = core.clone();
         let call = service.call((self.connections.link(stream), Protocol::Http1, Some(from)));
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         actix_rt::spawn(async move {
             if let Err(DispatchError::Parse(_)) = call.await {
-                core.bad_call("unreadable");
+                core.count_bad_call("unreadable");
             }
-            self.open.set(self.open.get() - 1);
+            self.open_connections.set(self.open_connections.get() - 1);
             self.closed.notify_one();
         });
     }
 
-    async fn call(&self, core: Rc<Core>, mut request: Request) -> Response<BoxBody> {
+    async fn handle_call(&self, core: Rc<Core>, mut request: Request) -> Response<BoxBody> {
         let connection = request.conn_data::<Rc<Connection>>().cloned();
         if let Some(connection) = connection.as_ref().filter(|connection| connection.is_condemned()) {
-            // It came behind a call that was refused: it may be a part of that, and is not answered.
-            sleep(BEHIND).await;
+            // It follows a refused call and may be part of that call's body, so it is not carried out.
+            sleep(CONDEMNED_CLOSE_DELAY).await;
             connection.close(CloseReason::Refused);
-            return refusal(StatusCode::BAD_REQUEST, "behind a refused call");
+            return error_response(StatusCode::BAD_REQUEST, "behind a refused call");
         }
-        let begun = connection
-            .as_ref()
-            .map_or_else(Instant::now, |connection| connection.open(core.bounds.statement + AHEAD));
-        let _open = connection.clone().map(Open);
+        let begun = connection.as_ref().map_or_else(Instant::now, |connection| {
+            connection.open(core.bounds.statement + READ_AHEAD_BYTES)
+        });
+        let _open_call = connection.clone().map(OpenCall);
         let payload = request.take_payload();
-        let path = request.path().strip_prefix(STATEMENTS);
+        let path = request.path().strip_prefix(STATEMENTS_PREFIX);
         let mut response = match (request.method(), path) {
-            // Bare line feeds, and what would turn the connection to another protocol.
+            // Bare line feeds in the head, and requests to switch the connection to another protocol.
             _ if connection.as_ref().is_some_and(|connection| connection.is_odd()) => {
-                refusal(StatusCode::BAD_REQUEST, "a line of the head does not end as it should")
+                error_response(StatusCode::BAD_REQUEST, "a line of the head does not end as it should")
             }
             _ if request.headers().contains_key(header::UPGRADE) => {
-                refusal(StatusCode::BAD_REQUEST, "Upgrade: is not done here")
+                error_response(StatusCode::BAD_REQUEST, "Upgrade: is not done here")
             }
-            (&Method::GET, None) if request.path() == HEALTH => {
-                plain(StatusCode::OK, "{\"status\":\"live\"}")
+            (&Method::GET, None) if request.path() == HEALTH_PATH => {
+                static_json(StatusCode::OK, "{\"status\":\"live\"}")
             }
             (&Method::POST, Some(workload)) => {
-                self.begun.set(self.begun.get() + 1);
+                self.statements_begun.set(self.statements_begun.get() + 1);
                 let workload = workload.rsplit('/').next().unwrap_or(workload).to_string();
-                let text_by = begun + TEXT_WITHIN;
+                let body_deadline = begun + BODY_TIMEOUT;
                 let (headers, sessions) = (request.headers(), &self.sessions);
-                match statement(&core, sessions, &workload, headers, payload, text_by, connection.clone())
-                    .await
+                match serve_statement(
+                    &core,
+                    sessions,
+                    &workload,
+                    headers,
+                    payload,
+                    body_deadline,
+                    connection.clone(),
+                )
+                .await
                 {
                     Ok(response) => response,
                     Err((status, why)) => {
-                        core.bad_call(why);
-                        return close_behind(refusal(status, why), connection.as_deref());
+                        core.count_bad_call(why);
+                        return close_after(error_response(status, why), connection.as_deref());
                     }
                 }
             }
             (&Method::GET, Some(path)) => {
-                match self.sessions.get(path.strip_prefix(NEXT).unwrap_or_default()) {
+                match self.sessions.get(path.strip_prefix(RESULT_PREFIX).unwrap_or_default()) {
                     Some(session) => {
-                        let answer = session.wait(NEXT_WITHIN, ended(connection.as_deref())).await;
-                        tell_unkept(next(&session.path, answer), session.unkept.as_ref())
+                        let answer =
+                            session.wait_for_answer(POLL_TIMEOUT, client_closed(connection.as_deref())).await;
+                        mark_not_kept(statement_response(&session.path, answer), session.not_kept.as_ref())
                     }
-                    None => refusal(StatusCode::NOT_FOUND, "no such result"),
+                    None => error_response(StatusCode::NOT_FOUND, "no such result"),
                 }
             }
             (&Method::DELETE, Some(path)) => {
-                match self.sessions.remove(&core, path.strip_prefix(NEXT).unwrap_or_default()) {
+                match self.sessions.remove(&core, path.strip_prefix(RESULT_PREFIX).unwrap_or_default()) {
                     true => Response::with_body(StatusCode::NO_CONTENT, BoxBody::new(())),
-                    false => refusal(StatusCode::NOT_FOUND, "no such result"),
+                    false => error_response(StatusCode::NOT_FOUND, "no such result"),
                 }
             }
-            (_, Some(_)) => refusal(StatusCode::METHOD_NOT_ALLOWED, "method not allowed"),
-            (_, None) if request.path() == HEALTH => {
-                refusal(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
+            (_, Some(_)) => error_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed"),
+            (_, None) if request.path() == HEALTH_PATH => {
+                error_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed")
             }
-            _ => refusal(StatusCode::NOT_FOUND, "no such path"),
+            _ => error_response(StatusCode::NOT_FOUND, "no such path"),
         };
         if !response.status().is_client_error() {
-            if self.crowded.get() && !response.extensions().contains::<ComesBack>() {
-                make_room(&mut response, connection.as_deref());
+            if self.at_limit.get() && !response.extensions().contains::<ClientPolls>() {
+                close_to_make_room(&mut response, connection.as_deref());
             }
             return response;
         }
-        core.bad_call(response.status().canonical_reason().unwrap_or("other"));
-        close_behind(response, connection.as_deref())
+        core.count_bad_call(response.status().canonical_reason().unwrap_or("other"));
+        close_after(response, connection.as_deref())
     }
 }
 
-/// Whoever sends what is refused has lost count of the connection, or never had it: it carries no further call.
-pub fn close_behind(mut response: Response<BoxBody>, connection: Option<&Connection>) -> Response<BoxBody> {
+/// Closes the connection after this response. A client that sends a bad call may have lost its framing, so
+/// nothing further on the connection is carried out.
+pub fn close_after(mut response: Response<BoxBody>, connection: Option<&Connection>) -> Response<BoxBody> {
     response.head_mut().set_connection_type(ConnectionType::Close);
     connection.into_iter().for_each(Connection::condemn);
     response
 }
 
 /// Returns once the client has closed its side of the connection.
-async fn ended(connection: Option<&Connection>) {
+async fn client_closed(connection: Option<&Connection>) {
     match connection {
         Some(connection) => connection.ended().await,
         None => std::future::pending().await,
     }
 }
 
-/// While it lives, a call is open on the connection.
-struct Open(Rc<Connection>);
+/// Keeps a call open on the connection until it is dropped.
+struct OpenCall(Rc<Connection>);
 
-impl Drop for Open {
+impl Drop for OpenCall {
     fn drop(&mut self) {
         self.0.rest();
     }
 }
 
-/// Tells the reducer that a client left, unless its answer went out before.
-struct Waiting {
+/// Reports to the reducer that the client disconnected, unless `id` was taken out before the drop.
+struct DisconnectGuard {
     core: Rc<Core>,
     id: Option<Id>,
     caller: u64,
 }
 
-impl Drop for Waiting {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            self.core.forget(self.caller);
+            self.core.forget_caller(self.caller);
             self.core.input(Input::Left(id));
         }
     }
 }
 
-async fn statement(
+/// Receives a statement, hands it to the reducer and waits for its answer, or opens a session where that
+/// takes long.
+async fn serve_statement(
     core: &Rc<Core>,
     sessions: &Rc<Sessions>,
     workload: &str,
     headers: &HeaderMap,
     payload: Payload,
-    text_by: Instant,
+    body_deadline: Instant,
     connection: Option<Rc<Connection>>,
-) -> Result<Response<BoxBody>, Refused> {
-    let asked = read_head(core, workload, headers)?;
-    let came = intake::take(core, payload, headers, asked.0.workload, text_by, connection.as_deref());
-    let (text, mut rest) = match came.await? {
-        Came::Whole(text) => (Text::Whole(text), None),
-        Came::Kept(body) => (Text::Body(body), None),
-        Came::Passing(body, rest) => (Text::Body(body), Some(rest)),
-        // Nothing was sent: harmless to repeat, and what still comes of it is not read.
-        Came::NoRoom => {
-            let response = next("", Some(Answer::Rejected(core.stay_away)));
-            return Ok(close_behind(response, connection.as_deref()));
+) -> Result<Response<BoxBody>, BadCall> {
+    let (mut statement, mut parcel) = read_head(core, workload, headers)?;
+    let received = intake::receive_body(
+        core,
+        payload,
+        headers,
+        statement.workload,
+        body_deadline,
+        connection.as_deref(),
+    );
+    let (text, mut remainder) = match received.await? {
+        Received::Whole(text) => (Text::Whole(text), None),
+        Received::Stored(body) => (Text::Body(body), None),
+        Received::Streaming(body, remainder) => (Text::Body(body), Some(remainder)),
+        // Nothing was sent to an engine, so the client may safely retry; the rest of the body is not read.
+        Received::NoCapacity => {
+            let response = statement_response("", Some(Answer::Rejected(core.retry_after)));
+            return Ok(close_after(response, connection.as_deref()));
         }
     };
-    let (mut said, mut parcel) = asked;
-    let mut unkept = None;
+    let mut not_kept = None;
     match &text {
-        Text::Whole(text) => said.table_group = tables::group(text),
+        Text::Whole(text) => statement.table_group = tables::group(text),
         Text::Body(body) => {
-            said.replayable = rest.is_none();
-            said.table_group = tables::group_of_prefix(&body.take_prefix());
-            unkept = Some(body.not_kept());
+            statement.replayable = remainder.is_none();
+            statement.table_group = tables::group_of_prefix(&body.take_prefix());
+            not_kept = Some(body.not_kept());
         }
     }
     parcel.text = text;
-    // Its time counts from when it came; it may have waited while this process stood still.
+    // The time left counts from the arrival of the call, which may have waited while this process was
+    // stalled.
     let now = Instant::now();
     core.standstill.works(now);
-    said.time_left = said.time_left.saturating_sub(core.standstill.waited(now));
-    let id = said.id.clone();
-    let (caller, mut answer) = core.expect();
-    let mut waiting = Waiting { core: core.clone(), id: Some(id.clone()), caller };
-    core.input(Input::Statement(Taken { caller, said, parcel }));
-    if let Some(rest) = &mut rest {
-        // What comes goes on to the engine. An answer before the end of it ends the connection, on which the rest still is.
+    statement.time_left = statement.time_left.saturating_sub(core.standstill.waited(now));
+    let id = statement.id.clone();
+    let (caller, mut answer) = core.register_caller();
+    let mut disconnect_guard = DisconnectGuard { core: core.clone(), id: Some(id.clone()), caller };
+    core.input(Input::Statement(Taken { caller, said: statement, parcel }));
+    if let Some(remainder) = &mut remainder {
+        // The body streams on to the engine. An answer before its end closes the connection, as the rest is
+        // still unread on it.
         tokio::select! {
             biased;
             answered = &mut answer => {
-                waiting.id = None;
-                let response = next("", Some(answered.unwrap_or(Answer::Aborted)));
-                return Ok(close_behind(tell_unkept(response, unkept.as_ref()), connection.as_deref()));
+                disconnect_guard.id = None;
+                let response = statement_response("", Some(answered.unwrap_or(Answer::Aborted)));
+                return Ok(close_after(mark_not_kept(response, not_kept.as_ref()), connection.as_deref()));
             }
-            came = rest.pass_on(core, connection.as_deref()) => came?,
+            streamed = remainder.stream(core, connection.as_deref()) => streamed?,
         }
     }
-    let left = async {
-        ended(connection.as_deref()).await;
-        // The client has left, or sends no more: with either, no answer is awaited for long.
+    let disconnected = async {
+        client_closed(connection.as_deref()).await;
+        // The client disconnected or closed its sending side; in both cases its statement is given up.
         core.input(Input::Left(id.clone()));
         std::future::pending::<Infallible>().await
     };
     let answered = tokio::select! {
         biased;
         answered = &mut answer => Some(answered.unwrap_or(Answer::Aborted)),
-        never = left => match never {},
-        () = sleep(FIRST_WITHIN), if sessions.have_room() => None,
+        never = disconnected => match never {},
+        () = sleep(FIRST_RESPONSE_TIMEOUT), if sessions.has_capacity() => None,
     };
-    waiting.id = None;
+    disconnect_guard.id = None;
     let response = match answered {
-        None => next(&sessions.open(core, id, answer, unkept.clone()), None),
-        answered => next("", answered),
+        None => statement_response(&sessions.open(core, id, answer, not_kept.clone()), None),
+        answered => statement_response("", answered),
     };
-    Ok(tell_unkept(response, unkept.as_ref()))
+    Ok(mark_not_kept(response, not_kept.as_ref()))
 }
 
-/// A final answer without a result says that its text was not kept, so that nobody wonders why it was tried but once.
-fn tell_unkept(mut response: Response<BoxBody>, unkept: Option<&Rc<Cell<bool>>>) -> Response<BoxBody> {
-    if unkept.is_some_and(|unkept| unkept.get()) && !response.status().is_success() {
+/// Marks a final answer without a result if the body was not kept, which explains why it was not retried.
+fn mark_not_kept(mut response: Response<BoxBody>, not_kept: Option<&Rc<Cell<bool>>>) -> Response<BoxBody> {
+    if not_kept.is_some_and(|not_kept| not_kept.get()) && !response.status().is_success() {
         let name = header::HeaderName::from_static("x-body");
         response.headers_mut().insert(name, HeaderValue::from_static("not-kept"));
     }
     response
 }
 
-/// Marks an answer after which its client calls again at once, and has left if it can't.
-struct ComesBack;
+/// Extension of a response after which the client polls again at once; if it cannot, it counts as
+/// disconnected.
+struct ClientPolls;
 
-/// The connection of an answered call makes room for one that waits to be accepted, unless more has come on it.
-fn make_room(response: &mut Response<BoxBody>, connection: Option<&Connection>) {
+/// Closes the connection after this response so that a new one can be accepted, unless the next call has
+/// begun on it.
+fn close_to_make_room(response: &mut Response<BoxBody>, connection: Option<&Connection>) {
     if connection.is_some_and(|connection| !connection.has_next()) {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
 }
 
-/// The answer, or the path to come back to.
-pub fn next(path: &str, answer: Option<Answer>) -> Response<BoxBody> {
+/// The response with the answer, or with the link to poll where there is none yet.
+pub fn statement_response(path: &str, answer: Option<Answer>) -> Response<BoxBody> {
     match answer {
         None => {
-            let link = serde_json::json!({ "link": format!("{STATEMENTS}{NEXT}{path}") });
-            let mut response = json(StatusCode::OK, link.to_string().into());
-            response.extensions_mut().insert(ComesBack);
+            let link = serde_json::json!({ "link": format!("{STATEMENTS_PREFIX}{RESULT_PREFIX}{path}") });
+            let mut response = json_response(StatusCode::OK, link.to_string().into());
+            response.extensions_mut().insert(ClientPolls);
             response
         }
-        Some(Answer::Completed(pages)) => completed(&pages),
+        Some(Answer::Completed(pages)) => result_response(&pages),
         Some(Answer::Rejected(retry_in)) => {
-            let mut response = refusal(StatusCode::SERVICE_UNAVAILABLE, "Busy");
+            let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "Busy");
             if let Some(retry_in) = retry_in {
                 let wait = HeaderValue::from(retry_in.as_millis() as u64);
                 response.headers_mut().insert(header::HeaderName::from_static("x-pushback-ms"), wait);
@@ -400,26 +456,27 @@
             response
         }
         Some(Answer::InUse) => {
-            refusal(StatusCode::CONFLICT, "X-Correlation-Id: is that of a statement still held")
+            error_response(StatusCode::CONFLICT, "X-Correlation-Id: is that of a statement still held")
         }
-        Some(Answer::Aborted) => refusal(StatusCode::INTERNAL_SERVER_ERROR, "Failed"),
+        Some(Answer::Aborted) => error_response(StatusCode::INTERNAL_SERVER_ERROR, "Failed"),
     }
 }
 
-pub type Refused = (StatusCode, &'static str);
+/// Status and reason with which a bad call is answered.
+pub type BadCall = (StatusCode, &'static str);
 
-/// The fields that the decisions need; all else stays as it came. What a client of this protocol does not send is refused:
-/// engines would have to make of it what they can.
-fn read_head(core: &Core, workload: &str, headers: &HeaderMap) -> Result<(NewStatement, Parcel), Refused> {
+/// Parses the headers that the scheduler needs; everything else is passed on unchanged. What a client of this
+/// protocol does not send is rejected here, as engines would have to guess its meaning.
+fn read_head(core: &Core, workload: &str, headers: &HeaderMap) -> Result<(NewStatement, Parcel), BadCall> {
     let bad = |why: &'static str| (StatusCode::BAD_REQUEST, why);
     let names = &core.names;
     let at = names.workloads.iter().position(|name| name == workload);
     let at = at.ok_or((StatusCode::NOT_FOUND, "no such workload"))?;
-    // A field that comes twice says two things.
-    let field = |name: &str, twice: &'static str| {
+    // A repeated header is ambiguous and rejected.
+    let field = |name: &str, repeated: &'static str| {
         let mut all = headers.get_all(name);
         match (all.next(), all.next()) {
-            (_, Some(_)) => Err(bad(twice)),
+            (_, Some(_)) => Err(bad(repeated)),
             (value, None) => {
                 Ok(value.and_then(|value| value.to_str().ok()).map(str::trim).or(value.map(|_| "")))
             }
@@ -429,11 +486,12 @@
     let id = id.filter(|id| id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit()));
     let id = id.ok_or(bad("X-Correlation-Id: is not 16 hex digits"))?;
     let wait = field("X-Deadline-Ms", "X-Deadline-Ms: comes twice")?
-        .and_then(|ms| plain_number(ms, LONGEST_WAIT_MS));
+        .and_then(|ms| parse_decimal(ms, MAX_DEADLINE_MS));
     let wait = wait.ok_or(bad("X-Deadline-Ms: is not a time in milliseconds"))?;
-    // Clients wait for as long as the settings say, and those that are late with sending some milliseconds longer.
-    let longest = core.longest.get(at).copied().flatten();
-    if longest.is_some_and(|longest| wait > longest.as_secs_f64() * 1e3 * LONGER) {
+    // Clients wait for the time in the settings, or some milliseconds longer if they were late in sending the
+    // call.
+    let max_wait = core.max_client_waits.get(at).copied().flatten();
+    if max_wait.is_some_and(|max_wait| wait > max_wait.as_secs_f64() * 1e3 * DEADLINE_TOLERANCE) {
         return Err(bad("X-Deadline-Ms: is longer than clients of the workload wait"));
     }
     let customer = match field("X-Org", "X-Org: comes twice")? {
@@ -443,29 +501,34 @@
             Some(at.ok_or(bad("X-Org: is no customer of the settings"))?)
         }
     };
-    let figure = |name: &str, twice: &'static str, most: f64, why: &'static str| match field(name, twice)? {
-        None => Ok(None),
-        Some(text) => match plain_number(text, most) {
-            None if text.bytes().all(|b| matches!(b, b'0' | b'.')) && text.starts_with('0') => Ok(None),
-            None => Err(bad(why)),
-            some => Ok(some),
-        },
-    };
-    let est_work = figure(
+    let estimate =
+        |name: &str, repeated: &'static str, max: f64, why: &'static str| match field(name, repeated)? {
+            None => Ok(None),
+            Some(text) => match parse_decimal(text, max) {
+                None if text.bytes().all(|b| matches!(b, b'0' | b'.')) && text.starts_with('0') => Ok(None),
+                None => Err(bad(why)),
+                some => Ok(some),
+            },
+        };
+    let est_work = estimate(
         "X-Estimate-Ms",
         "X-Estimate-Ms: comes twice",
-        LONGEST_WORK_MS,
+        MAX_ESTIMATE_MS,
         "X-Estimate-Ms: is not a time in milliseconds",
     )?;
-    let est_mem_mb =
-        figure("X-Memory", "X-Memory: comes twice", MOST_MEM_MB, "X-Memory: is not a number of megabytes")?;
+    let est_mem_mb = estimate(
+        "X-Memory",
+        "X-Memory: comes twice",
+        MAX_MEMORY_MB,
+        "X-Memory: is not a number of megabytes",
+    )?;
     let key = field("X-Operation-Key", "X-Operation-Key: comes twice")?;
-    let sound =
-        |key: &&str| (1..=LONGEST_NAME).contains(&key.len()) && key.bytes().all(|b| b.is_ascii_graphic());
-    if !key.iter().all(sound) || (key.is_none() && core.keyed.get(at).copied().unwrap_or(false)) {
+    let is_valid =
+        |key: &&str| (1..=MAX_KEY_LENGTH).contains(&key.len()) && key.bytes().all(|b| b.is_ascii_graphic());
+    if !key.iter().all(is_valid) || (key.is_none() && core.requires_key.get(at).copied().unwrap_or(false)) {
         return Err(bad("X-Operation-Key: is no key"));
     }
-    let said = NewStatement {
+    let statement = NewStatement {
         id: id.into(),
         workload: at,
         customer,
@@ -482,19 +545,20 @@
         key: key.map(|key| Bytes::copy_from_slice(key.as_bytes())),
         text: Text::Whole(Bytes::new()),
     };
-    Ok((said, parcel))
+    Ok((statement, parcel))
 }
 
-/// Digits, and perhaps a point and digits, above 0: no signs, exponents or words, which only look like numbers.
-fn plain_number(text: &str, most: f64) -> Option<f64> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
+/// Parses a decimal number above 0 and up to `max`: digits and optionally a point and digits. Signs,
+/// exponents and words such as `inf` are rejected, although `f64` would parse them.
+fn parse_decimal(text: &str, max: f64) -> Option<f64> {
+    let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |text: &str| (1..=15).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
-    let number = (digits(whole) && digits(part)).then(|| text.parse::<f64>().ok()).flatten()?;
-    (number > 0.0 && number <= most).then_some(number)
+    let number = (digits(whole) && digits(fraction)).then(|| text.parse::<f64>().ok()).flatten()?;
+    (number > 0.0 && number <= max).then_some(number)
 }
 
-/// All rows, in order and unchanged: each text as JSON has it.
-fn completed(pages: &[Bytes]) -> Response<BoxBody> {
+/// The result as JSON: all rows in order, with each cell as a string.
+fn result_response(pages: &[Bytes]) -> Response<BoxBody> {
     let size: usize = pages.iter().map(Bytes::len).sum();
     let mut out = Vec::with_capacity(size * 5 / 4 + 64);
     out.extend_from_slice(b"{\"values\":[");
@@ -510,26 +574,27 @@
             if at > 0 {
                 out.push(b',');
             }
-            // Writing to memory does not fail.
+            // Writing to memory cannot fail.
             let _ = serde_json::to_writer(&mut out, cell);
         }
         out.push(b']');
     }
     out.extend_from_slice(b"]}");
-    json(StatusCode::OK, out.into())
+    json_response(StatusCode::OK, out.into())
 }
 
-fn json(status: StatusCode, body: Bytes) -> Response<BoxBody> {
+fn json_response(status: StatusCode, body: Bytes) -> Response<BoxBody> {
     let mut response = Response::with_body(status, BoxBody::new(body));
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     response
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<BoxBody> {
-    json(status, Bytes::from_static(text.as_bytes()))
+fn static_json(status: StatusCode, text: &'static str) -> Response<BoxBody> {
+    json_response(status, Bytes::from_static(text.as_bytes()))
 }
 
-pub fn refusal(status: StatusCode, why: &str) -> Response<BoxBody> {
-    json(status, serde_json::json!({ "abort": why }).to_string().into())
+/// An error response with this reason.
+pub fn error_response(status: StatusCode, why: &str) -> Response<BoxBody> {
+    json_response(status, serde_json::json!({ "abort": why }).to_string().into())
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,8 +1,10 @@
-//! Texts as they come from clients: ordinary ones whole into memory, larger ones to where they are kept, or through to an
-//! engine. It reads, and decides nothing: where a text goes is the ledger's to say.
+//! Receives statement bodies from clients. Ordinary bodies are read whole into memory; larger ones go to the
+//! body store or are streamed to an engine. The accounting of the body store decides which.
 
 use crate::connection::Connection;
-use crate::frontend::{close_behind, next, refusal, Refused, AHEAD, STATEMENTS};
+use crate::frontend::{
+    close_after, error_response, statement_response, BadCall, READ_AHEAD_BYTES, STATEMENTS_PREFIX,
+};
 use crate::reducer::Answer;
 use crate::runtime::Core;
 use actix_http::body::BoxBody;
@@ -15,113 +17,120 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout_at;
 
-const TOO_LARGE: Refused = (StatusCode::PAYLOAD_TOO_LARGE, "the statement is too large");
-const NOT_WHOLE: Refused = (StatusCode::BAD_REQUEST, "the statement did not come whole");
-const TOO_SLOW: Refused = (StatusCode::REQUEST_TIMEOUT, "the statement came too slowly");
-const NO_TEXT: Refused = (StatusCode::BAD_REQUEST, "the statement is no text");
-/// Of a text that is passed on as it comes, what is here before an engine is chosen: its tables are named there.
-const FIRST: u64 = 16 * 1024;
-
-/// How a text came.
-pub enum Came {
+const TOO_LARGE: BadCall = (StatusCode::PAYLOAD_TOO_LARGE, "the statement is too large");
+const INCOMPLETE: BadCall = (StatusCode::BAD_REQUEST, "the statement did not come whole");
+const TOO_SLOW: BadCall = (StatusCode::REQUEST_TIMEOUT, "the statement came too slowly");
+const NOT_TEXT: BadCall = (StatusCode::BAD_REQUEST, "the statement is no text");
+/// Bytes of a streamed body that are received before an engine is chosen, as the tables are usually named
+/// among them.
+const STREAM_PREFIX_BYTES: u64 = 16 * 1024;
+
+/// Result of receiving a body.
+pub enum Received {
+    /// An ordinary body, in memory.
     Whole(Bytes),
-    /// Whole, and can be sent again.
-    Kept(Rc<Body>),
-    /// Its first part, to be sent once, and what has yet to come.
-    Passing(Rc<Body>, Box<Rest>),
-    NoRoom,
+    /// A complete body in the body store; it can be sent again.
+    Stored(Rc<Body>),
+    /// The first part of a body that can be sent only once, and the part still to be received.
+    Streaming(Rc<Body>, Box<Remainder>),
+    /// There is no capacity for the body or its statement.
+    NoCapacity,
 }
 
-/// What has yet to come of a text.
-pub struct Rest {
+/// The part of a body that has yet to be received.
+pub struct Remainder {
     payload: Payload,
     body: Rc<Body>,
-    look: Look,
-    by: Instant,
+    validator: TextValidator,
+    deadline: Instant,
 }
 
-/// Whether what comes is text: UTF-8, no NUL, not blank. A character may be cut between two pieces.
+/// Incremental check that a body is text: UTF-8, no NUL, not blank. A character may be split between two
+/// chunks.
 #[derive(Default)]
-struct Look {
-    cut: Vec<u8>,
-    seen: bool,
+struct TextValidator {
+    /// The first bytes of a character whose rest is in the next chunk.
+    partial: Vec<u8>,
+    has_content: bool,
 }
 
-impl Look {
-    fn at(&mut self, bytes: &[u8]) -> bool {
+impl TextValidator {
+    /// Checks the next chunk; false if it is not text.
+    fn accept(&mut self, bytes: &[u8]) -> bool {
         let joined;
         let mut rest = bytes;
-        if !self.cut.is_empty() {
-            joined = [&self.cut[..], bytes].concat();
+        if !self.partial.is_empty() {
+            joined = [&self.partial[..], bytes].concat();
             rest = &joined;
         }
-        let (good, cut) = match std::str::from_utf8(rest) {
+        let (valid, partial) = match std::str::from_utf8(rest) {
             Ok(text) => (text, &[][..]),
             Err(error) if error.error_len().is_none() => {
-                let (good, cut) = rest.split_at(error.valid_up_to());
-                (std::str::from_utf8(good).unwrap_or_default(), cut)
+                let (valid, partial) = rest.split_at(error.valid_up_to());
+                (std::str::from_utf8(valid).unwrap_or_default(), partial)
             }
             Err(_) => return false,
         };
-        self.seen |= !good.trim_start().is_empty();
-        let clean = !good.contains('\0');
-        self.cut = cut.to_vec();
-        clean
+        self.has_content |= !valid.trim_start().is_empty();
+        let has_no_nul = !valid.contains('\0');
+        self.partial = partial.to_vec();
+        has_no_nul
     }
 
     fn is_text(&self) -> bool {
-        self.seen && self.cut.is_empty()
+        self.has_content && self.partial.is_empty()
     }
 }
 
-fn told_length(headers: &HeaderMap) -> Option<u64> {
+fn declared_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(header::CONTENT_LENGTH).and_then(|n| n.to_str().ok()?.parse().ok())
 }
 
-/// Before a client that asks first is told to go on: whether there is room for what it wants to send.
-pub fn has_room(core: &Core, request: &Request) -> Result<(), Response<BoxBody>> {
-    let workload = request.path().strip_prefix(STATEMENTS).and_then(|path| path.rsplit('/').next());
+/// Decides on a call with `Expect: 100-continue`: whether there is capacity for the body that the client
+/// wants to send.
+pub fn check_admission(core: &Core, request: &Request) -> Result<(), Response<BoxBody>> {
+    let workload = request.path().strip_prefix(STATEMENTS_PREFIX).and_then(|path| path.rsplit('/').next());
     let at = workload.and_then(|name| core.names.workloads.iter().position(|known| known == name));
-    let length = told_length(request.headers());
+    let length = declared_length(request.headers());
     if length.is_some_and(|length| length <= core.bounds.statement as u64) {
         return Ok(());
     }
     let strict = at.is_some_and(|at| core.strict[at]);
-    let refused = match core.bodies.check_admission(length, strict) {
+    let response = match core.bodies.check_admission(length, strict) {
         Ok(_) => return Ok(()),
-        Err(Refusal::TooLarge) => refusal(TOO_LARGE.0, TOO_LARGE.1),
-        Err(Refusal::NoCapacity) => next("", Some(Answer::Rejected(core.stay_away))),
+        Err(Refusal::TooLarge) => error_response(TOO_LARGE.0, TOO_LARGE.1),
+        Err(Refusal::NoCapacity) => statement_response("", Some(Answer::Rejected(core.retry_after))),
     };
-    Err(close_behind(refused, None))
+    Err(close_after(response, None))
 }
 
-/// Reads a text until it is whole, or as far as it must be before an engine is chosen.
-pub async fn take(
+/// Receives a body until it is complete, or up to the part needed before an engine is chosen.
+pub async fn receive_body(
     core: &Rc<Core>,
     mut payload: Payload,
     headers: &HeaderMap,
     workload: usize,
-    text_by: Instant,
+    deadline: Instant,
     connection: Option<&Connection>,
-) -> Result<Came, Refused> {
+) -> Result<Received, BadCall> {
     let (ordinary, largest) = (core.bounds.statement as u64, core.bodies.max_body());
-    let told = told_length(headers);
-    if told.is_some_and(|length| length > largest) {
+    let declared = declared_length(headers);
+    if declared.is_some_and(|length| length > largest) {
         return Err(TOO_LARGE);
     }
-    let mut parts: Vec<Bytes> = Vec::new();
+    let mut chunks: Vec<Bytes> = Vec::new();
     let mut length = 0;
-    while told.is_none_or(|told| told <= ordinary) {
-        let part = timeout_at(text_by.into(), payload.next()).await.map_err(|_| TOO_SLOW)?;
-        let Some(part) = part else {
+    while declared.is_none_or(|declared| declared <= ordinary) {
+        let chunk = timeout_at(deadline.into(), payload.next()).await.map_err(|_| TOO_SLOW)?;
+        let Some(chunk) = chunk else {
             if let Some(connection) = connection {
-                connection.has_come(AHEAD);
+                connection.has_come(READ_AHEAD_BYTES);
             }
-            return whole(parts, length as usize).map(Came::Whole);
+            return join_chunks(chunks, length as usize).map(Received::Whole);
         };
-        let part = part.map_err(|_| NOT_WHOLE)?;
-        length += part.len() as u64;
-        parts.push(part);
+        let chunk = chunk.map_err(|_| INCOMPLETE)?;
+        length += chunk.len() as u64;
+        chunks.push(chunk);
         if length > ordinary {
             break;
         }
@@ -129,108 +138,114 @@
     if length > largest {
         return Err(TOO_LARGE);
     }
-    // From here on what may be read ahead is bounded by what is taken from actix-http.
+    // From here on reading ahead is bounded by the flow control of actix-http's payload.
     connection.into_iter().for_each(|connection| connection.allow(usize::MAX));
-    if core.turns_away() {
-        return Ok(Came::NoRoom);
+    if core.rejects_new_statements() {
+        return Ok(Received::NoCapacity);
     }
-    let body = match core.bodies.begin(told, core.strict[workload]) {
+    let body = match core.bodies.begin(declared, core.strict[workload]) {
         Ok(body) => body,
         Err(Refusal::TooLarge) => return Err(TOO_LARGE),
-        Err(Refusal::NoCapacity) => return Ok(Came::NoRoom),
+        Err(Refusal::NoCapacity) => return Ok(Received::NoCapacity),
     };
-    let mut rest = Rest { payload, body: body.clone(), look: Look::default(), by: text_by };
-    for part in parts {
-        if let Some(came) = rest.put(part).await? {
-            return Ok(came);
+    let mut remainder =
+        Remainder { payload, body: body.clone(), validator: TextValidator::default(), deadline };
+    for chunk in chunks {
+        if let Some(received) = remainder.push(chunk).await? {
+            return Ok(received);
         }
     }
     loop {
-        if body.tier() == Tier::NotKept && body.received() >= FIRST {
-            return Ok(Came::Passing(body, Box::new(rest)));
+        if body.tier() == Tier::NotKept && body.received() >= STREAM_PREFIX_BYTES {
+            return Ok(Received::Streaming(body, Box::new(remainder)));
         }
-        match rest.next(core).await? {
-            Some(part) => {
-                if let Some(came) = rest.put(part).await? {
-                    return Ok(came);
+        match remainder.next_chunk(core).await? {
+            Some(chunk) => {
+                if let Some(received) = remainder.push(chunk).await? {
+                    return Ok(received);
                 }
             }
             None => {
-                if let Some(came) = rest.end(connection).await? {
-                    return Ok(came);
+                if let Some(received) = remainder.finish(connection).await? {
+                    return Ok(received);
                 }
                 return Ok(match body.tier() {
-                    Tier::NotKept => Came::Passing(body, Box::new(rest)),
-                    _ => Came::Kept(body),
+                    Tier::NotKept => Received::Streaming(body, Box::new(remainder)),
+                    _ => Received::Stored(body),
                 });
             }
         }
     }
 }
 
-fn whole(mut parts: Vec<Bytes>, length: usize) -> Result<Bytes, Refused> {
-    let text = if parts.len() <= 1 {
-        parts.pop().unwrap_or_default()
+/// Joins the chunks of an ordinary body and checks that it is text.
+fn join_chunks(mut chunks: Vec<Bytes>, length: usize) -> Result<Bytes, BadCall> {
+    let text = if chunks.len() <= 1 {
+        chunks.pop().unwrap_or_default()
     } else {
-        let mut whole = BytesMut::with_capacity(length);
-        parts.iter().for_each(|part| whole.extend_from_slice(part));
-        whole.freeze()
+        let mut joined = BytesMut::with_capacity(length);
+        chunks.iter().for_each(|chunk| joined.extend_from_slice(chunk));
+        joined.freeze()
     };
     let is_text =
         std::str::from_utf8(&text).is_ok_and(|text| !text.trim().is_empty() && !text.contains('\0'));
-    is_text.then_some(text).ok_or(NO_TEXT)
+    is_text.then_some(text).ok_or(NOT_TEXT)
 }
 
-impl Rest {
-    /// The next piece; none at the end. A text has the ordinary time, and more as it grows.
-    async fn next(&mut self, core: &Core) -> Result<Option<Bytes>, Refused> {
-        let by = self.by + Duration::from_secs_f64(self.body.received() as f64 / core.slowest.max(1) as f64);
-        let part = timeout_at(by.into(), self.payload.next()).await.map_err(|_| TOO_SLOW)?;
-        part.transpose().map_err(|_| NOT_WHOLE)
+impl Remainder {
+    /// The next chunk, or none at the end of the body. The deadline moves out with the bytes received, at the
+    /// minimum rate.
+    async fn next_chunk(&mut self, core: &Core) -> Result<Option<Bytes>, BadCall> {
+        let deadline = self.deadline
+            + Duration::from_secs_f64(self.body.received() as f64 / core.min_bytes_per_second.max(1) as f64);
+        let chunk = timeout_at(deadline.into(), self.payload.next()).await.map_err(|_| TOO_SLOW)?;
+        chunk.transpose().map_err(|_| INCOMPLETE)
     }
 
-    async fn put(&mut self, part: Bytes) -> Result<Option<Came>, Refused> {
-        if !self.look.at(&part) {
-            return Err(NO_TEXT);
+    /// Adds a chunk to the body. A result means that receiving ends here.
+    async fn push(&mut self, chunk: Bytes) -> Result<Option<Received>, BadCall> {
+        if !self.validator.accept(&chunk) {
+            return Err(NOT_TEXT);
         }
-        // What a disk makes a client wait for is not counted against it.
+        // Time spent waiting for the disk does not count against the client.
         let began = Instant::now();
-        let put = self.body.push(part).await;
-        self.by += began.elapsed();
-        self.refused(put)
+        let pushed = self.body.push(chunk).await;
+        self.deadline += began.elapsed();
+        self.map_refusal(pushed)
     }
 
-    async fn end(&mut self, connection: Option<&Connection>) -> Result<Option<Came>, Refused> {
-        if !self.look.is_text() {
-            return Err(NO_TEXT);
+    /// Ends the body. A result means that it could not be stored whole.
+    async fn finish(&mut self, connection: Option<&Connection>) -> Result<Option<Received>, BadCall> {
+        if !self.validator.is_text() {
+            return Err(NOT_TEXT);
         }
-        connection.into_iter().for_each(|connection| connection.has_come(AHEAD));
-        let ended = self.body.finish().await;
-        self.refused(ended)
+        connection.into_iter().for_each(|connection| connection.has_come(READ_AHEAD_BYTES));
+        let finished = self.body.finish().await;
+        self.map_refusal(finished)
     }
 
-    fn refused(&self, put: Result<(), Refusal>) -> Result<Option<Came>, Refused> {
-        match put {
+    fn map_refusal(&self, stored: Result<(), Refusal>) -> Result<Option<Received>, BadCall> {
+        match stored {
             Ok(()) => Ok(None),
             Err(Refusal::TooLarge) => Err(TOO_LARGE),
-            Err(Refusal::NoCapacity) => Ok(Some(Came::NoRoom)),
+            Err(Refusal::NoCapacity) => Ok(Some(Received::NoCapacity)),
         }
     }
 
-    /// The rest of a text that is not kept, to the engine that has it.
-    pub async fn pass_on(&mut self, core: &Core, connection: Option<&Connection>) -> Result<(), Refused> {
+    /// Streams the rest of a body that is not kept to the engine that already has its first part.
+    pub async fn stream(&mut self, core: &Core, connection: Option<&Connection>) -> Result<(), BadCall> {
         while !self.body.is_complete() {
-            match self.next(core).await? {
-                Some(part) => self.put(part).await.map(drop)?,
-                None => self.end(connection).await.map(drop)?,
+            match self.next_chunk(core).await? {
+                Some(chunk) => self.push(chunk).await.map(drop)?,
+                None => self.finish(connection).await.map(drop)?,
             }
         }
         Ok(())
     }
 }
 
-/// Whatever ended it, a text that did not come whole will never be.
-impl Drop for Rest {
+/// Aborts a body that was not received completely, for whatever reason.
+impl Drop for Remainder {
     fn drop(&mut self) {
         if !self.body.is_complete() {
             self.body.abort();
--- a/crates/gateway/src/predecessor_check.rs
+++ b/crates/gateway/src/predecessor_check.rs
@@ -1,5 +1,5 @@
-//! Checks that engines have read everything a previous process of this gateway may have sent them, by probing each engine,
-//! a bounded number at a time.
+//! Checks that engines have read everything a previous process of this gateway may have sent them, by probing
+//! each engine, a bounded number at a time.
 
 use crate::reducer::Listed;
 use std::collections::{HashSet, VecDeque};
@@ -53,8 +53,8 @@
         next
     }
 
-    /// A probe ended: the engine has read all that was sent to it before or its process is gone (`has_read`), or it did not
-    /// answer.
+    /// A probe ended: the engine has read all that was sent to it before or its process is gone (`has_read`),
+    /// or it did not answer.
     pub fn probe_ended(&mut self, has_read: bool) {
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
         self.failed |= !has_read;
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Carries out what the reducer asks for, on one thread: the gateway as it is started, serves and shuts down.
+//! Runs the gateway on one thread: startup, the effects that the reducer asks for, reloads and shutdown.
 
 use crate::config::{self, AtStart, Bounds, Start};
 use crate::connection::Connections;
@@ -35,252 +35,285 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{oneshot, Notify};
 
-/// How often idle connections are looked through, and how often figures are logged.
-const SWEEP: Duration = Duration::from_millis(250);
-const FIGURES: Duration = Duration::from_secs(10);
-/// A gateway told to close serves at least so long, as new connections go on coming for a while.
-const LEAVE_AT_LEAST: Duration = Duration::from_millis(800);
-/// And it is over so long after the time that statements are given: no one is killed with an answer owed.
-const LEAVE_SLACK: Duration = Duration::from_millis(300);
-/// And it is gone so long after that time, answers that nobody comes for and connections that nobody closes included: the platform kills it
-/// 0.7 s after that time.
-const GONE_SLACK: Duration = Duration::from_millis(550);
-/// A statement waits for its own cancel at an engine no longer than this before it goes there again: an engine
-/// that has begun to drain meanwhile must not be sent what was decided before.
-const STOP_WITHIN: Duration = Duration::from_millis(150);
-/// Time for the last answers to be written, and asked for where clients come back for them.
-const LAST_WORDS: Duration = Duration::from_millis(250);
-/// How often a gateway that leaves looks whether it may, and how long it must have been quiet once it accepts no more.
-const LOOK: Duration = Duration::from_millis(20);
-const QUIET: Duration = Duration::from_millis(60);
-/// Connections that were let go are read out for so long, so that no answer on its way is destroyed by a reset.
-const READ_OUT: Duration = Duration::from_millis(100);
-
-/// A clock that counts on while the machine sleeps; or, in tests, one that is wrong on purpose.
+/// Interval at which idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the counters are logged.
+const FIGURES_INTERVAL: Duration = Duration::from_secs(10);
+/// Shortest time that a gateway keeps serving after it was told to shut down, as new connections keep coming
+/// for a while.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(800);
+/// The shutdown ends this long after the time given to statements, so that no answer is lost when the process
+/// is killed.
+const SHUTDOWN_SLACK: Duration = Duration::from_millis(300);
+/// The process ends this long after the time given to statements, including undelivered answers and
+/// connections that clients leave open. The platform kills it 0.7 s after that time.
+const EXIT_SLACK: Duration = Duration::from_millis(550);
+/// Longest time that an execution waits for the cancel of the same statement's earlier one at that engine. An
+/// engine that has begun to drain meanwhile must not be sent what was decided before.
+const CANCEL_WAIT: Duration = Duration::from_millis(150);
+/// Time for the last answers to be written, or fetched by clients that poll.
+const ANSWER_DELIVERY_TIME: Duration = Duration::from_millis(250);
+/// Interval at which the shutdown checks whether it may continue.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long no new statement may have come once the gateway has stopped accepting.
+const QUIET_TIME: Duration = Duration::from_millis(60);
+/// How long closed connections are drained, so that a reset does not destroy an answer on its way.
+const CONNECTION_DRAIN_TIME: Duration = Duration::from_millis(100);
+
+/// A clock that keeps counting while the machine is suspended; tests also use clocks that are wrong on
+/// purpose.
 pub type ClockSource = Rc<dyn Fn() -> Duration>;
 
-/// The Unix time as it was at the start, and one clock from then on, which no correction moves. In a fleet that clock counts on
-/// while the machine sleeps, so that no leave outlasts its end.
+/// The Unix time at the start, continued by a monotonic clock that no correction moves. In a fleet that clock
+/// keeps counting while the machine is suspended, so that no grant is used after its expiry.
 struct Clock {
-    at_start: Duration,
+    unix_time_at_start: Duration,
     start: Instant,
-    ticks: Option<(ClockSource, Duration)>,
+    /// The fleet's clock and its reading at the start.
+    source: Option<(ClockSource, Duration)>,
 }
 
 impl Clock {
-    fn new(ticks: Option<ClockSource>) -> Clock {
-        let at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let ticks = ticks.map(|ticks| (ticks.clone(), ticks()));
-        Clock { at_start, start: Instant::now(), ticks }
+    fn new(source: Option<ClockSource>) -> Clock {
+        let unix_time_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let source = source.map(|source| (source.clone(), source()));
+        Clock { unix_time_at_start, start: Instant::now(), source }
     }
 
     fn now(&self) -> Duration {
-        match &self.ticks {
-            // One that goes back shows it: whoever keeps leave has to see that.
-            Some((ticks, start)) => (self.at_start + ticks()).saturating_sub(*start),
-            None => self.at_start + self.start.elapsed(),
+        match &self.source {
+            // A clock that goes backwards is passed on as it is: the grant holder has to detect that.
+            Some((source, start)) => (self.unix_time_at_start + source()).saturating_sub(*start),
+            None => self.unix_time_at_start + self.start.elapsed(),
         }
     }
 
-    /// The time that an instant of this process was at.
-    fn at(&self, instant: TimerInstant) -> Duration {
+    /// The time of a past instant of this process.
+    fn time_of(&self, instant: TimerInstant) -> Duration {
         self.now().saturating_sub(instant.elapsed())
     }
 
+    /// The instant at which a timer for this time fires.
     fn instant(&self, at: Duration) -> TimerInstant {
-        match self.ticks {
+        match self.source {
             Some(_) => TimerInstant::now() + at.saturating_sub(self.now()),
-            None => TimerInstant::from_std(self.start + at.saturating_sub(self.at_start)),
+            None => TimerInstant::from_std(self.start + at.saturating_sub(self.unix_time_at_start)),
         }
     }
 }
 
-/// What a gateway may be given beside its configuration.
+/// Replacements for parts of a gateway that its configuration does not cover.
 #[derive(Default)]
 pub struct Overrides {
-    /// Files for bodies go here, instead of the folder that the operators name.
+    /// Stores body files, in place of the directory in the operators' settings.
     pub disk: Option<Arc<dyn Disk>>,
     /// The clock of a gateway in a fleet.
     pub clock: Option<ClockSource>,
-    /// A known mistake in what it does in a fleet, to see that checkers find it.
+    /// A bug injected into the fleet protocol, to test that checkers find it.
     pub injected_bug: Option<InjectedBug>,
+    /// A bug injected into the policy protocol.
     pub injected_policy_bug: Option<bramblewharf_policy::InjectedBug>,
 }
 
-/// Several reloads may come before the first is taken in: the last word on each counts.
+/// Changes of a reload that are not yet in force. If several reloads come first, the last value of each field
+/// counts.
 #[derive(Default)]
-struct Turn {
+struct PendingReload {
     names: Option<Option<SocketAddr>>,
     known: Option<Known>,
 }
 
-/// The reducer, and what its effects need.
+/// The reducer, and the state that its effects need.
 pub struct Core {
     reducer: RefCell<Reducer>,
     clock: Clock,
+    /// Limits on connections and statements.
     pub bounds: Bounds,
+    /// Names of the workloads and customers.
     pub names: Names,
-    /// Of each workload: how long clients wait at most, and whether their statements carry a key.
-    pub longest: Vec<Option<Duration>>,
-    pub keyed: Vec<bool>,
-    /// Of each workload, whether a text beyond the ordinary size is kept or else not taken.
+    /// The longest time clients wait, by workload.
+    pub max_client_waits: Vec<Option<Duration>>,
+    /// Whether statements must carry an operation key, by workload.
+    pub requires_key: Vec<bool>,
+    /// Whether a body beyond the ordinary size is rejected if it cannot be kept, by workload.
     pub strict: Vec<bool>,
-    /// Beyond the ordinary time a text may come as slowly as so many bytes a second.
-    pub slowest: u64,
-    /// How long whom we have no room for should stay away, where the settings allow that to be told.
-    pub stay_away: Option<Duration>,
+    /// Slowest rate at which a body may come once the ordinary time is over.
+    pub min_bytes_per_second: u64,
+    /// Retry delay for clients that are rejected for lack of capacity, where the settings allow one.
+    pub retry_after: Option<Duration>,
+    /// Bodies beyond the ordinary size.
     pub bodies: Rc<BodyStore>,
+    /// The log of the process.
     pub log: Logger,
     trace: Trace,
-    /// When this process stood still last.
+    /// Detects pauses of this process.
     pub standstill: Standstill,
     engines: Engines,
     peers: Option<Peers>,
     fleet: Option<Link>,
     policy: Option<policy::Disk>,
-    /// Where what is out at engines is kept.
+    /// File that records which executions are in flight at engines.
     record: Option<RecordFile>,
-    names_passed_over: Rc<Cell<u64>>,
-    /// When the list was last confirmed.
-    list_heard: Rc<Cell<TimerInstant>>,
-    callers: Cell<u64>,
-    answers: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    ignored_name_answers: Rc<Cell<u64>>,
+    /// When the engine list was last confirmed.
+    list_confirmed: Rc<Cell<TimerInstant>>,
+    next_caller: Cell<u64>,
+    /// Calls that wait for an answer, by caller.
+    pending_answers: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    /// Tasks of executions, by statement and execution.
     running: RefCell<HashMap<(Id, usize), JoinHandle<()>>>,
-    /// Cancels under way: the same statement waits for them before it goes to that engine again.
-    stopping: RefCell<HashMap<(Id, Id), JoinHandle<()>>>,
-    /// The earliest time that something may be due has changed.
-    due: Notify,
-    /// What a reload has changed for whoever follows the list.
-    turned: RefCell<Turn>,
-    turn: Notify,
-    /// By kind, of which there are as many as the front has refusals.
+    /// Cancels in progress, by statement and engine: the statement waits for them before it is sent to that
+    /// engine again.
+    cancelling: RefCell<HashMap<(Id, Id), JoinHandle<()>>>,
+    /// The time of the earliest timer has changed.
+    due_changed: Notify,
+    /// Changes of a reload for the task that follows the engine list.
+    pending_reload: RefCell<PendingReload>,
+    reloaded: Notify,
+    /// Bad calls by kind; the frontend has a fixed set of kinds.
     bad_calls: RefCell<BTreeMap<&'static str, u64>>,
     faults: Cell<u64>,
-    /// Nothing is taken in or carried out any longer.
+    /// No input is applied and no effect carried out any longer.
     closed: Cell<bool>,
 }
 
 impl Core {
-    /// The only way in: all that happens goes through the reducer, and its effects follow at once.
+    /// Passes an input to the reducer and carries out its effects at once. Every event enters the gateway
+    /// this way.
     pub fn input(self: &Rc<Self>, input: Input) {
-        self.take_in(input);
+        self.apply_input(input);
     }
 
-    /// Whether it was taken in whole: a fault in a decision may have left a part of it out.
-    fn take_in(self: &Rc<Self>, input: Input) -> bool {
+    /// Applies an input. False if a panic in the reducer may have left a part of it out.
+    fn apply_input(self: &Rc<Self>, input: Input) -> bool {
         if self.closed.get() {
             return true;
         }
         self.standstill.works(Instant::now());
         let faults = self.faults.get();
         self.trace.input(&input);
-        let (effects, sooner) = {
+        let (effects, due_changed) = {
             let mut reducer = self.reducer.borrow_mut();
             let before = reducer.due();
             let step = AssertUnwindSafe(|| reducer.step(self.clock.now(), input));
-            // A fault in the decisions costs one input, not the gateway: its timers and other statements go on.
-            let effects = catch_unwind(step).unwrap_or_else(|fault| {
+            // A panic in the reducer costs one input, not the gateway: timers and other statements continue.
+            let effects = catch_unwind(step).unwrap_or_else(|panic| {
                 self.faults.set(self.faults.get() + 1);
-                slog::error!(self.log, "fault in a decision"; "faults" => self.faults.get());
+                slog::error!(self.log, "panic in the reducer; the input may be partly applied"; "faults" => self.faults.get());
                 if cfg!(debug_assertions) {
-                    resume_unwind(fault);
+                    resume_unwind(panic);
                 }
                 Vec::new()
             });
             self.trace.refused(reducer.refused());
             (effects, reducer.due() != before)
         };
-        if sooner {
-            self.due.notify_one();
+        if due_changed {
+            self.due_changed.notify_one();
         }
         if let Some(link) = &self.fleet {
-            // Before anything is done by what it has now.
+            // Facts are written before any effect that rests on the current state.
             let (now, mut reducer) = (self.clock.now(), self.reducer.borrow_mut());
             let fact = reducer.policy().filter(|_| link.wants_facts()).map(|policy| policy.fact(now));
             reducer.fleet().into_iter().for_each(|node| link.note(now, node, fact.as_ref()));
         }
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects.into_iter().for_each(|effect| self.run_effect(effect));
         self.faults.get() == faults
     }
 
-    /// Returns once what came while this process stood still has been read: at once, unless it just did.
-    pub async fn settled(&self) {
+    /// Returns once everything that arrived during a pause of this process has been read; at once if there
+    /// was no recent pause.
+    pub async fn wait_for_backlog(&self) {
         let now = Instant::now();
         self.standstill.works(now);
-        if let Some(left) = self.standstill.settles(now) {
-            sleep(left).await;
+        if let Some(remaining) = self.standstill.settles(now) {
+            sleep(remaining).await;
         }
     }
 
-    /// Whether a statement whose large text begins to come would be rejected for want of room for statements.
-    pub fn turns_away(&self) -> bool {
+    /// Whether a statement would be rejected because the limit of statements is reached; checked before a
+    /// large body is received.
+    pub fn rejects_new_statements(&self) -> bool {
         self.reducer.borrow_mut().turns_away()
     }
 
-    /// A number for a new caller, and where its answer will be.
-    pub fn expect(&self) -> (u64, oneshot::Receiver<Answer>) {
-        let caller = self.callers.get();
-        self.callers.set(caller + 1);
+    /// Registers a new caller: its number, and the channel on which its answer comes.
+    pub fn register_caller(&self) -> (u64, oneshot::Receiver<Answer>) {
+        let caller = self.next_caller.get();
+        self.next_caller.set(caller + 1);
         let (sender, receiver) = oneshot::channel();
-        self.answers.borrow_mut().insert(caller, sender);
+        self.pending_answers.borrow_mut().insert(caller, sender);
         (caller, receiver)
     }
 
-    pub fn forget(&self, caller: u64) {
-        self.answers.borrow_mut().remove(&caller);
+    /// Drops the answer channel of a caller that no longer waits.
+    pub fn forget_caller(&self, caller: u64) {
+        self.pending_answers.borrow_mut().remove(&caller);
     }
 
-    /// One more call that was refused for what it was, by kind.
-    pub fn bad_call(&self, kind: &'static str) {
+    /// Counts a call that was refused as bad, by kind.
+    pub fn count_bad_call(&self, kind: &'static str) {
         *self.bad_calls.borrow_mut().entry(kind).or_default() += 1;
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn run_effect(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Answer { caller, answer } => {
-                let waits = self.answers.borrow_mut().remove(&caller);
-                self.trace.answered(caller, &answer, waits.is_some());
-                if let Some(waits) = waits {
-                    let _ = waits.send(answer);
+                let sender = self.pending_answers.borrow_mut().remove(&caller);
+                self.trace.answered(caller, &answer, sender.is_some());
+                if let Some(sender) = sender {
+                    let _ = sender.send(answer);
                 }
             }
             Effect::Start { id, execution, engine, address, parcel, mem_mb, timeout, not_after } => {
                 let core = self.clone();
-                let list_age = self.list_heard.get().elapsed();
-                let (of, to) = (&id, &engine);
-                self.trace.decided(&Attempt { id: of, execution, engine: to, address, timeout, list_age });
+                let list_age = self.list_confirmed.get().elapsed();
+                let (statement_id, target) = (&id, &engine);
+                self.trace.decided(&Attempt {
+                    id: statement_id,
+                    execution,
+                    engine: target,
+                    address,
+                    timeout,
+                    list_age,
+                });
                 let until = Instant::now() + timeout;
-                let stopping = self.stopping.borrow_mut().remove(&(id.clone(), engine));
+                let cancel_task = self.cancelling.borrow_mut().remove(&(id.clone(), engine));
                 let key = (id.clone(), execution);
                 let task = actix_rt::spawn(async move {
-                    if let Some(mut stopping) = stopping {
-                        // A cancel that came after the next execution would end that one.
-                        if timeout_after(STOP_WITHIN, &mut stopping).await.is_err() {
-                            stopping.abort();
+                    if let Some(mut cancel_task) = cancel_task {
+                        // A cancel that arrived after the next execution would end that one.
+                        if timeout_after(CANCEL_WAIT, &mut cancel_task).await.is_err() {
+                            cancel_task.abort();
                         }
                     }
-                    let may = || {
+                    let may_begin = || {
                         let now = core.clock.now();
-                        let due = not_after.is_none_or(|end| now <= end);
-                        let lapsed = core.reducer.borrow().lapsed(now, &id, execution);
-                        core.trace.goes_out(&id, execution, lapsed, core.list_heard.get().elapsed());
-                        let goes = due && lapsed.is_none();
-                        if goes {
+                        let in_time = not_after.is_none_or(|end| now <= end);
+                        let held_back_by = core.reducer.borrow().lapsed(now, &id, execution);
+                        core.trace.send_guard(
+                            &id,
+                            execution,
+                            held_back_by,
+                            core.list_confirmed.get().elapsed(),
+                        );
+                        let may_send = in_time && held_back_by.is_none();
+                        if may_send {
                             core.reducer.borrow_mut().goes_out(now, &id, execution);
                         }
-                        goes
+                        may_send
                     };
-                    let arrives = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
-                    let may = May { begin: &may, arrive: &arrives };
+                    let may_arrive = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
+                    let may = May { begin: &may_begin, arrive: &may_arrive };
                     let job = Job { address, parcel: &parcel, mem_mb, until, may };
-                    let heard = |heard| {
+                    let on_event = |event| {
                         let id = id.clone();
-                        core.input(match heard {
+                        core.input(match event {
                             Heard::Arrived => Input::Arrived { id, execution },
                             Heard::Note(note) => Input::Noted { id, execution, note },
                         });
                     };
-                    let ending = core.engines.run(job, heard).await;
+                    let ending = core.engines.run(job, on_event).await;
                     core.running.borrow_mut().remove(&(id.clone(), execution));
                     if matches!(&parcel.text, Text::Body(body) if !body.is_kept()) {
                         core.input(Input::Unkept(id.clone()));
@@ -290,19 +323,19 @@
                 self.running.borrow_mut().insert(key, task);
             }
             Effect::Stop { id, execution, engine, address, cancel } => {
-                self.trace.stops(&id, execution, &engine);
+                self.trace.stopped(&id, execution, &engine);
                 if let Some(task) = self.running.borrow_mut().remove(&(id.clone(), execution)) {
                     task.abort();
                 }
                 let core = self.clone();
                 let key = (id.clone(), engine);
-                let own = key.clone();
+                let task_key = key.clone();
                 let task = actix_rt::spawn(async move {
                     let after = core.engines.stop(address, &id, cancel).await;
-                    core.stopping.borrow_mut().remove(&own);
+                    core.cancelling.borrow_mut().remove(&task_key);
                     core.input(Input::Stopped { id, execution, after });
                 });
-                self.stopping.borrow_mut().insert(key, task);
+                self.cancelling.borrow_mut().insert(key, task);
             }
             Effect::Record(write) => {
                 self.record.iter().for_each(|record| record.write(&write, &self.log));
@@ -315,9 +348,9 @@
                 });
             }
             Effect::Keep { generation, bytes } => {
-                let known = self.policy.as_ref().map_or(Some(true), |disk| disk.keep(generation, bytes));
-                if let Some(well) = known {
-                    // Not within what asked for it: its own effects come first.
+                let outcome = self.policy.as_ref().map_or(Some(true), |disk| disk.keep(generation, bytes));
+                if let Some(well) = outcome {
+                    // In a task of its own, so that the remaining effects of this input come first.
                     let core = self.clone();
                     actix_rt::spawn(async move { core.input(Input::Kept { generation, well }) });
                 }
@@ -335,12 +368,13 @@
         }
     }
 
-    async fn keep_time(self: Rc<Self>) {
+    /// Wakes the reducer whenever a timer is due.
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.reducer.borrow().due();
             let due = due.map(|at| self.clock.instant(at));
             tokio::select! {
-                _ = self.due.notified() => {}
+                _ = self.due_changed.notified() => {}
                 _ = async { sleep_until(due.unwrap_or_else(TimerInstant::now)).await }, if due.is_some() => {
                     self.input(Input::Wake);
                 }
@@ -348,20 +382,23 @@
         }
     }
 
-    async fn hear_peers(self: Rc<Self>) {
+    /// Passes on the messages of other gateways.
+    async fn receive_from_peers(self: Rc<Self>) {
         while let Some(peers) = &self.peers {
             let event = peers.hear().await;
             self.input(Input::Told(event));
         }
     }
 
-    async fn hear_fleet(self: Rc<Self>) {
+    /// Passes on the messages of the fleet.
+    async fn receive_from_fleet(self: Rc<Self>) {
         while let Some(link) = &self.fleet {
             let (envelope, from) = link.hear().await;
             self.input(Input::Fleet(envelope, from));
         }
     }
 
+    /// Writes the status file for operators, where one is configured.
     fn write_status(&self) {
         let Some(link) = self.fleet.as_ref().filter(|link| link.wants_status()) else { return };
         let now = self.clock.now();
@@ -372,19 +409,20 @@
         }
     }
 
-    async fn follow_list(self: Rc<Self>, mut asker: Asker) {
-        let mut before: BTreeMap<Id, EngineState> = BTreeMap::new();
+    /// Follows the engine list: from the name service, and from reloads of the configuration.
+    async fn follow_engine_list(self: Rc<Self>, mut asker: Asker) {
+        let mut previous: BTreeMap<Id, EngineState> = BTreeMap::new();
         loop {
-            let news = tokio::select! {
+            let update = tokio::select! {
                 biased;
-                () = self.turn.notified() => {
-                    let Turn { names, known } = self.turned.take();
+                () = self.reloaded.notified() => {
+                    let PendingReload { names, known } = self.pending_reload.take();
                     if let Some(names) = names {
                         asker.turn_to(names);
                         self.input(names.map_or(Input::ListStays, |_| Input::ListAsked(None)));
                     }
                     match known.filter(|known| asker.told(known.no)) {
-                        // A file may be older than what it holds: it confirms nothing.
+                        // The list in a file may be out of date, so it does not count as a confirmation.
                         Some(known) => (known, None),
                         None => continue,
                     }
@@ -392,7 +430,7 @@
                 word = asker.change() => match word {
                     Word::List(known, asked) => (known, Some(asked)),
                     Word::Same(asked) => {
-                        self.input(Input::ListAsked(Some(self.clock.at(asked))));
+                        self.input(Input::ListAsked(Some(self.clock.time_of(asked))));
                         continue;
                     }
                     Word::Disputed(known) => {
@@ -410,44 +448,45 @@
                     }
                 },
             };
-            let (known, asked) = news;
+            let (known, asked) = update;
             let entries = known.list.iter().map(|listed| (listed.entry.id.clone(), listed.entry.state));
-            let now: BTreeMap<Id, EngineState> = entries.collect();
-            let draining = now.values().filter(|state| **state == EngineState::Draining).count();
-            let removed = before.keys().filter(|id| !now.contains_key(*id)).count();
-            slog::info!(self.log, "list of engines"; "no" => known.no, "engines" => now.len(),
+            let current: BTreeMap<Id, EngineState> = entries.collect();
+            let draining = current.values().filter(|state| **state == EngineState::Draining).count();
+            let removed = previous.keys().filter(|id| !current.contains_key(*id)).count();
+            slog::info!(self.log, "list of engines"; "no" => known.no, "engines" => current.len(),
                 "draining" => draining, "removed" => removed);
-            for listed in known.list.iter().filter(|l| before.get(&l.entry.id) != Some(&l.entry.state)) {
+            for listed in known.list.iter().filter(|l| previous.get(&l.entry.id) != Some(&l.entry.state)) {
                 self.trace.listed(
                     &listed.entry.id,
                     &format!("{:?}", listed.entry.state),
                     Some(listed.address),
                 );
             }
-            before
+            previous
                 .keys()
-                .filter(|id| !now.contains_key(*id))
+                .filter(|id| !current.contains_key(*id))
                 .for_each(|id| self.trace.listed(id, "Gone", None));
-            before = now;
-            // Confirmed is what was taken in, and nothing else.
-            match (self.take_in(Input::Engines(ListKind::Snapshot, known.list)), asked) {
-                (true, Some(asked)) => self.input(Input::ListAsked(Some(self.clock.at(asked)))),
+            previous = current;
+            // Only a list that was applied completely counts as confirmed.
+            match (self.apply_input(Input::Engines(ListKind::Snapshot, known.list)), asked) {
+                (true, Some(asked)) => self.input(Input::ListAsked(Some(self.clock.time_of(asked)))),
                 (true, None) => {}
                 (false, _) => asker.not_taken(),
             }
         }
     }
 
+    /// Logs the counters of this gateway.
     fn log_figures(&self, clients: &Connections) {
         let mut reducer = self.reducer.borrow_mut();
-        let ill = reducer.take_ill();
+        let unhealthy = reducer.take_ill();
         let mut broken = reducer.broken.clone();
         broken.add(Invariant::ClosesAnswered, clients.closes.unanswered());
         slog::info!(self.log, "figures"; "counts" => ?reducer.counts, "held" => reducer.held(),
-            "open" => reducer.open(), "ill" => ?ill, "bad_calls" => ?self.bad_calls.borrow(),
+            "open" => reducer.open(), "ill" => ?unhealthy, "bad_calls" => ?self.bad_calls.borrow(),
             "refusals" => ?reducer.refusals, "closed" => ?clients.closes.counts(), "closed_to_engines" => ?self.engines.closes().counts(),
-            "asked_again" => self.engines.asked_again(), "names_passed_over" => self.names_passed_over.get(),
-            "list_age_ms" => self.list_heard.get().elapsed().as_millis() as u64,
+            "asked_again" => self.engines.asked_again(), "names_passed_over" => self.ignored_name_answers.get(),
+            "list_age_ms" => self.list_confirmed.get().elapsed().as_millis() as u64,
             "peers_passed_over" => self.peers.as_ref().map_or(0, Peers::passed_over),
             "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.spooled_bytes(),
             "bodies_fault" => self.bodies.take_last_error(),
@@ -456,29 +495,31 @@
     }
 }
 
-/// A gateway that serves. To be started inside a single-threaded runtime with a local task set, such as
+/// A running gateway. Start it inside a single-threaded runtime with a local task set, such as
 /// `actix_rt::System`; dropping it ends its tasks.
 pub struct Gateway {
     core: Rc<Core>,
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     tasks: Vec<JoinHandle<()>>,
     address: SocketAddr,
-    leave_within: Duration,
+    statement_time: Duration,
+    /// Settings that only change with a restart.
     at_start: AtStart,
     bodies: Bodies,
-    folder: Option<Arc<SpoolDirectory>>,
+    spool_directory: Option<Arc<SpoolDirectory>>,
     fleet: (Option<operators::Fleet>, BTreeMap<String, operators::Budget>),
-    /// The name service and other gateways, as last read.
+    /// Addresses of the name service and of other gateways, as last read.
     in_force: RefCell<(Option<SocketAddr>, Option<config::Peers>)>,
 }
 
 impl Gateway {
-    /// Binds all its addresses before anything else; where one cannot be had, nothing is left behind.
+    /// Starts a gateway. All addresses are bound first; if one is not available, nothing is left behind.
     pub async fn start(start: Start, log: Logger) -> io::Result<Gateway> {
         Gateway::start_with_disk(start, log, None).await
     }
 
-    /// With files for bodies on that disk, where it is given, instead of the folder that the operators name.
+    /// Starts a gateway that stores body files on `disk`, if given, in place of the directory in the
+    /// operators' settings.
     pub async fn start_with_disk(
         start: Start,
         log: Logger,
@@ -487,30 +528,31 @@
         Gateway::start_with_overrides(start, log, Overrides { disk, ..Overrides::default() }).await
     }
 
+    /// Starts a gateway with parts of it replaced.
     pub async fn start_with_overrides(
         start: Start,
         log: Logger,
         overrides: Overrides,
     ) -> io::Result<Gateway> {
         let Overrides { disk, clock, injected_bug, injected_policy_bug } = overrides;
-        let named = |what: &str, address: &dyn std::fmt::Display, e: io::Error| {
+        let with_address = |what: &str, address: &dyn std::fmt::Display, e: io::Error| {
             io::Error::new(e.kind(), format!("{what}: {address}: {e}"))
         };
-        let listener = listen(start.listen).map_err(|e| named("listen", &start.listen, e))?;
+        let listener = listen(start.listen).map_err(|e| with_address("listen", &start.listen, e))?;
         let address = listener.local_addr()?;
         let peers = match start.peers.clone() {
             None => None,
             Some(peers) => {
                 let at = peers.listen;
                 let bound = Peers::bind(peers, start.site.gateway as usize).await;
-                Some(bound.map_err(|e| named("peer_listen", &at, e))?)
+                Some(bound.map_err(|e| with_address("peer_listen", &at, e))?)
             }
         };
         let fleet = match &start.fleet {
             None => None,
             Some(terms) => {
                 let link = Link::bind(terms).await;
-                Some(link.map_err(|e| named("fleet", &terms.listen, e))?)
+                Some(link.map_err(|e| with_address("fleet", &terms.listen, e))?)
             }
         };
         let asker = Asker::start(start.names, start.known.no, start.seed, log.clone())?;
@@ -518,25 +560,26 @@
         let source = start.fleet.is_some().then(|| clock.unwrap_or_else(|| Rc::new(machine_time)));
         let clock = Clock::new(source);
         let (one_at_a_time, idle) = (!start.site.concurrent_executions, start.engine_idle);
-        let (bounds, words) = (start.bounds.clone(), start.words.clone());
-        let engines = Engines::new(bounds, words, start.dial_timeout, idle, one_at_a_time);
+        let (bounds, names) = (start.bounds.clone(), start.words.clone());
+        let engines = Engines::new(bounds, names, start.dial_timeout, idle, one_at_a_time);
         let deduplicated = |w: &WorkloadConfig| matches!(w.effect, Repeat::Deduplicated(_));
-        let keyed = start.site.workloads.iter().map(deduplicated).collect();
-        let (bodies, folder) = keeper(&start.operators.bodies, disk, &log)?;
+        let requires_key = start.site.workloads.iter().map(deduplicated).collect();
+        let (bodies, spool_directory) = open_body_store(&start.operators.bodies, disk, &log)?;
         let strict = start.words.workloads.iter().map(|w| start.operators.bodies.is_strict(w)).collect();
-        let (slowest, stay_away) = (start.operators.bodies.slowest.as_u64(), start.site.max_retry_after);
-        let of_policy = start.fleet.as_ref().and_then(|terms| terms.policy.clone());
-        let (policy, kept) = match &of_policy {
+        let (min_bytes_per_second, retry_after) =
+            (start.operators.bodies.slowest.as_u64(), start.site.max_retry_after);
+        let policy_terms = start.fleet.as_ref().and_then(|terms| terms.policy.clone());
+        let (policy, policy_writes) = match &policy_terms {
             Some(terms) => {
                 if let Some(fault) = &terms.fault {
                     slog::error!(log, "what was kept of the policy is not read"; "fault" => fault);
                 }
-                let (disk, kept) = policy::Disk::start(terms.file.clone())?;
-                (Some(disk), Some(kept))
+                let (disk, writes) = policy::Disk::start(terms.file.clone())?;
+                (Some(disk), Some(writes))
             }
             None => (None, None),
         };
-        let of_policy = of_policy.map(|mut terms| {
+        let policy_start = policy_terms.map(|mut terms| {
             terms.start.terms.injected_bug = injected_policy_bug;
             (terms.start, terms.names)
         });
@@ -544,24 +587,24 @@
         let part = start.fleet.map(|terms| {
             let start =
                 node::Start { config: FleetConfig { injected_bug, ..terms.start.config }, ..terms.start };
-            let kept = record_path.as_deref().map(|path| record_file::read(path, &start, &log));
+            let recorded = record_path.as_deref().map(|path| record_file::read(path, &start, &log));
             let (predecessor, slots) =
-                kept.map_or((Predecessor::Unknown, None), |(p, slots)| (p, Some(slots)));
+                recorded.map_or((Predecessor::Unknown, None), |(p, slots)| (p, Some(slots)));
             Part { start, predecessor, slots }
         });
-        let (reducer, first) =
-            Reducer::start_in(part, of_policy, start.site, start.seed, start.bounds.stmts, clock.now());
+        let (reducer, first_effects) =
+            Reducer::start_in(part, policy_start, start.site, start.seed, start.bounds.stmts, clock.now());
         let record = record_path.and_then(|path| {
-            let writes = first.iter().filter_map(|effect| match effect {
+            let writes = first_effects.iter().filter_map(|effect| match effect {
                 Effect::Record(write) => Some(write.clone()),
                 _ => None,
             });
             let writes: Vec<_> = writes.collect();
             let replaced = RecordFile::replace(&path, &writes);
             let replaced = replaced.map_err(|error| {
-                // The process after this one must not take the file of the one before for ours.
+                // The next process must not mistake the file of the previous process for this one's.
                 let removed = std::fs::remove_file(&path);
-                slog::error!(log, "no record of what is out is kept"; "file" => %path.display(),
+                slog::error!(log, "executions in flight are not recorded"; "file" => %path.display(),
                     "error" => %error, "removed" => removed.is_ok());
             });
             replaced.ok()
@@ -571,11 +614,11 @@
             clock,
             bounds: start.bounds,
             names: start.words,
-            longest: start.longest,
-            keyed,
+            max_client_waits: start.longest,
+            requires_key,
             strict,
-            slowest,
-            stay_away,
+            min_bytes_per_second,
+            retry_after,
             bodies,
             trace: Trace::new(&log),
             standstill: Standstill::new(Instant::now()),
@@ -585,165 +628,195 @@
             fleet,
             policy,
             record,
-            names_passed_over: asker.passed_over.clone(),
-            list_heard: asker.heard(),
-            callers: Cell::new(0),
-            answers: RefCell::default(),
+            ignored_name_answers: asker.passed_over.clone(),
+            list_confirmed: asker.heard(),
+            next_caller: Cell::new(0),
+            pending_answers: RefCell::default(),
             running: RefCell::default(),
-            stopping: RefCell::default(),
-            due: Notify::new(),
-            turned: RefCell::default(),
-            turn: Notify::new(),
+            cancelling: RefCell::default(),
+            due_changed: Notify::new(),
+            pending_reload: RefCell::default(),
+            reloaded: Notify::new(),
             bad_calls: RefCell::default(),
             faults: Cell::new(0),
             closed: Cell::new(false),
         });
-        first.into_iter().for_each(|effect| core.carry_out(effect));
+        first_effects.into_iter().for_each(|effect| core.run_effect(effect));
         core.input(Input::Engines(ListKind::Cached, start.known.list));
         if start.names.is_some() {
-            // What the configuration holds was told with it.
+            // The list in the configuration counts as confirmed at the start.
             core.input(Input::ListAsked(Some(core.clock.now())));
         }
-        let front = Frontend::new(&core.bounds);
+        let frontend = Frontend::new(&core.bounds);
         slog::info!(core.log, "serving"; "name" => start.name, "listen" => %address,
             "bounds" => ?core.bounds);
-        let mut tasks =
-            vec![actix_rt::spawn(core.clone().keep_time()), actix_rt::spawn(core.clone().hear_peers())];
-        tasks.push(actix_rt::spawn(core.clone().follow_list(asker)));
+        let mut tasks = vec![
+            actix_rt::spawn(core.clone().run_timers()),
+            actix_rt::spawn(core.clone().receive_from_peers()),
+        ];
+        tasks.push(actix_rt::spawn(core.clone().follow_engine_list(asker)));
         if core.fleet.is_some() {
-            tasks.push(actix_rt::spawn(core.clone().hear_fleet()));
+            tasks.push(actix_rt::spawn(core.clone().receive_from_fleet()));
         }
-        if let Some(mut kept) = kept {
+        if let Some(mut policy_writes) = policy_writes {
             let core = core.clone();
             tasks.push(actix_rt::spawn(async move {
-                while let Some((generation, well)) = kept.recv().await {
+                while let Some((generation, well)) = policy_writes.recv().await {
                     core.input(Input::Kept { generation, well });
                 }
             }));
         }
         core.reducer.borrow_mut().serves();
-        let (accepting, log) = (front.clone().accept(listener, core.clone()), core.log.clone());
+        let (accepting, log) = (frontend.clone().accept(listener, core.clone()), core.log.clone());
         tasks.push(actix_rt::spawn(async move {
             if let Err(error) = accepting.await {
                 slog::error!(log, "no longer accepting"; "error" => %error);
             }
         }));
-        let linger = front.connections.linger.clone();
+        let linger = frontend.connections.linger.clone();
         tasks.push(actix_rt::spawn(async move { linger.run().await }));
-        let (swept, engines) = (front.clone(), core.clone());
+        let (swept_frontend, swept_core) = (frontend.clone(), core.clone());
         tasks.push(actix_rt::spawn(async move {
             let mut logged = Instant::now();
             loop {
-                sleep(SWEEP).await;
-                // Nothing is closed for its age while what came during a pause waits to be read.
-                engines.settled().await;
-                swept.connections.sweep();
-                engines.engines.sweep();
-                engines.write_status();
-                if logged.elapsed() >= FIGURES {
+                sleep(SWEEP_INTERVAL).await;
+                // No connection is closed as idle while data that came during a pause is unread.
+                swept_core.wait_for_backlog().await;
+                swept_frontend.connections.sweep();
+                swept_core.engines.sweep();
+                swept_core.write_status();
+                if logged.elapsed() >= FIGURES_INTERVAL {
                     logged = Instant::now();
-                    engines.log_figures(&swept.connections);
+                    swept_core.log_figures(&swept_frontend.connections);
                 }
             }
         }));
-        let (leave_within, at_start) = (start.leave_within, start.at_start);
+        let (statement_time, at_start) = (start.leave_within, start.at_start);
         let (bodies, fleet) = (start.operators.bodies, (start.operators.fleet, start.operators.budget));
-        Ok(Gateway { core, front, tasks, address, leave_within, at_start, bodies, folder, fleet, in_force })
+        Ok(Gateway {
+            core,
+            frontend,
+            tasks,
+            address,
+            statement_time,
+            at_start,
+            bodies,
+            spool_directory,
+            fleet,
+            in_force,
+        })
     }
 
-    /// Takes over what can change while it serves, with no statement touched: the name service, other gateways'
-    /// addresses, and `known` where it is later than the list in force. What waits for a restart is named in the log.
+    /// Applies the settings that can change while the gateway serves, without affecting any statement: the
+    /// name service, other gateways' addresses, and the list in `known` if it is newer than the one in force.
+    /// Settings that need a restart are logged.
     pub fn reload(&self, start: Start) {
         let log = &self.core.log;
         let mut in_force = self.in_force.borrow_mut();
         let (names, peers) = &*in_force;
-        let mut turned = self.core.turned.borrow_mut();
+        let mut pending_reload = self.core.pending_reload.borrow_mut();
         if start.names != *names {
-            turned.names = Some(start.names);
+            pending_reload.names = Some(start.names);
         }
-        let mut waits = self.at_start.changed(&start.at_start);
-        // Whether messages are exchanged at all is settled at the start.
-        if peers.is_some() != start.peers.is_some() && !waits.contains(&"peer_listen") {
-            waits.push("peers");
+        let mut waits_for_restart = self.at_start.changed(&start.at_start);
+        // Whether gossip is exchanged at all is fixed at the start.
+        if peers.is_some() != start.peers.is_some() && !waits_for_restart.contains(&"peer_listen") {
+            waits_for_restart.push("peers");
         }
-        // How much is kept takes effect at once, where and by how many threads with a restart.
+        // The limits of the body store change at once; its directory and threads change with a restart.
         let bodies = &start.operators.bodies;
         self.core.bodies.set_bounds(bodies.bounds());
         if self.bodies != *bodies && !self.bodies.is_alike(bodies) {
-            waits.push("bodies");
+            waits_for_restart.push("bodies");
         }
         if self.fleet != (start.operators.fleet, start.operators.budget) {
-            waits.push("fleet");
+            waits_for_restart.push("fleet");
         }
-        if let (Some(ours), Some(peers)) = (&self.core.peers, &start.peers) {
-            ours.turn_to(peers.clone());
+        if let (Some(running), Some(peers)) = (&self.core.peers, &start.peers) {
+            running.turn_to(peers.clone());
         }
         slog::info!(log, "configuration reloaded"; "names" => ?start.names, "known" => start.known.no,
-            "waits_for_restart" => ?waits);
+            "waits_for_restart" => ?waits_for_restart);
         *in_force = (start.names, start.peers);
-        turned.known = Some(start.known);
-        self.core.turn.notify_one();
+        pending_reload.known = Some(start.known);
+        self.core.reloaded.notify_one();
     }
 
-    /// What is held of texts beyond the ordinary size, and what has been since the start.
+    /// Counters of bodies beyond the ordinary size: those held now, and totals since the start.
     pub fn body_counts(&self) -> BodyCounts {
         self.core.bodies.counts()
     }
 
-    /// Where it listens.
+    /// The address on which it listens for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Goes on serving until all that was taken is answered and no new statements come; what is still open when its time is over is
-    /// aborted, and what could not end by then is turned away instead of being begun. Then it accepts no more, answers what had
-    /// been accepted, shuts its connections for writing, reads them out and closes.
+    /// Shuts down. Keeps serving until every statement taken is answered and no new ones come; statements
+    /// that cannot end in time are rejected instead of being started, and those still open at the end are
+    /// aborted. Then it stops accepting, answers the calls on accepted connections, shuts its connections for
+    /// writing, drains and closes them.
     pub async fn shut_down(self) {
-        // Told while this process stood still, it may have been told when that began.
+        // If this process was stalled, the request may have come as early as the start of the stall.
         let now = Instant::now();
         self.core.standstill.works(now);
         let waited = self.core.standstill.waited(now);
         let began = now.checked_sub(waited).unwrap_or(now);
         slog::info!(self.core.log, "closing"; "waited_ms" => waited.as_millis() as u64);
-        let within = LEAVE_AT_LEAST.max(self.leave_within + LEAVE_SLACK);
+        let within = MIN_SHUTDOWN_TIME.max(self.statement_time + SHUTDOWN_SLACK);
         self.core.input(Input::Closing((self.core.clock.now() + within).saturating_sub(waited)));
-        let left = || within.saturating_sub(began.elapsed());
-        let gone_within = (LEAVE_AT_LEAST + READ_OUT).max(self.leave_within + GONE_SLACK);
-        let gone_in = || gone_within.saturating_sub(began.elapsed());
-        self.quiet(LEAVE_AT_LEAST / 3, |_| began.elapsed() >= LEAVE_AT_LEAST, left).await;
-        self.front.stop_accepting();
-        self.quiet(QUIET, |front| front.connections.open_calls() == 0, left).await;
+        let time_left = || within.saturating_sub(began.elapsed());
+        let exit_within = (MIN_SHUTDOWN_TIME + CONNECTION_DRAIN_TIME).max(self.statement_time + EXIT_SLACK);
+        let time_to_exit = || exit_within.saturating_sub(began.elapsed());
+        self.wait_until_quiet(MIN_SHUTDOWN_TIME / 3, |_| began.elapsed() >= MIN_SHUTDOWN_TIME, time_left)
+            .await;
+        self.frontend.stop_accepting();
+        self.wait_until_quiet(QUIET_TIME, |frontend| frontend.connections.open_calls() == 0, time_left).await;
         self.core.input(Input::Close);
         let closed = Instant::now();
-        let owed = || self.front.sessions.owed() + self.front.connections.open_calls() > 0;
-        sleep(LAST_WORDS / 4).await;
-        while owed() && closed.elapsed() < LAST_WORDS && gone_in() > READ_OUT {
-            sleep(LAST_WORDS / 20).await;
+        let has_undelivered =
+            || self.frontend.sessions.undelivered_answers() + self.frontend.connections.open_calls() > 0;
+        sleep(ANSWER_DELIVERY_TIME / 4).await;
+        while has_undelivered()
+            && closed.elapsed() < ANSWER_DELIVERY_TIME
+            && time_to_exit() > CONNECTION_DRAIN_TIME
+        {
+            sleep(ANSWER_DELIVERY_TIME / 20).await;
         }
-        // Said more than once, as it may be lost: else what this gateway had is free only once its leave has ended.
+        // Sent more than once, as the message may be lost; the budgets of this gateway would then stay taken
+        // until its grants expire.
         for _ in 0..3 {
             self.core.input(Input::Depart);
         }
-        self.front.connections.part_from_all();
-        let parted = Instant::now();
-        while self.front.connections.linger.count() > 0 && parted.elapsed() < READ_OUT && !gone_in().is_zero()
+        self.frontend.connections.part_from_all();
+        let drain_began = Instant::now();
+        while self.frontend.connections.linger.count() > 0
+            && drain_began.elapsed() < CONNECTION_DRAIN_TIME
+            && !time_to_exit().is_zero()
         {
-            sleep(LOOK / 4).await;
+            sleep(SHUTDOWN_CHECK_INTERVAL / 4).await;
         }
-        self.core.log_figures(&self.front.connections);
+        self.core.log_figures(&self.frontend.connections);
         slog::info!(self.core.log, "closed");
     }
 
-    /// Returns once no statement has begun to come for so long, none is open, no answer is owed and `more` holds, or no time is left.
-    async fn quiet(&self, for_: Duration, more: impl Fn(&Frontend) -> bool, left: impl Fn() -> Duration) {
-        let mut last = (self.front.begun.get(), Instant::now());
-        while !left().is_zero() {
-            sleep(LOOK).await;
-            if self.front.begun.get() != last.0 {
-                last = (self.front.begun.get(), Instant::now());
+    /// Returns once no statement has begun to arrive for `quiet_for`, none is open, no answer is undelivered
+    /// and `condition` holds, or no time is left.
+    async fn wait_until_quiet(
+        &self,
+        quiet_for: Duration,
+        condition: impl Fn(&Frontend) -> bool,
+        time_left: impl Fn() -> Duration,
+    ) {
+        let mut last = (self.frontend.statements_begun.get(), Instant::now());
+        while !time_left().is_zero() {
+            sleep(SHUTDOWN_CHECK_INTERVAL).await;
+            if self.frontend.statements_begun.get() != last.0 {
+                last = (self.frontend.statements_begun.get(), Instant::now());
             }
-            let none = self.core.reducer.borrow().open() == 0 && self.front.sessions.owed() == 0;
-            if none && last.1.elapsed() >= for_ && more(&self.front) {
+            let is_idle =
+                self.core.reducer.borrow().open() == 0 && self.frontend.sessions.undelivered_answers() == 0;
+            if is_idle && last.1.elapsed() >= quiet_for && condition(&self.frontend) {
                 return;
             }
         }
@@ -755,15 +828,16 @@
         self.core.closed.set(true);
         self.tasks.iter().for_each(JoinHandle::abort);
         self.core.running.borrow().values().for_each(JoinHandle::abort);
-        self.core.stopping.borrow().values().for_each(JoinHandle::abort);
-        self.front.connections.close_all();
+        self.core.cancelling.borrow().values().for_each(JoinHandle::abort);
+        self.frontend.connections.close_all();
         self.core.engines.close_all();
-        self.folder.iter().for_each(|folder| folder.remove());
+        self.spool_directory.iter().for_each(|directory| directory.remove());
     }
 }
 
-/// The texts beyond the ordinary ones: the folder for them, what others left there, and the threads.
-fn keeper(
+/// Opens the store for bodies beyond the ordinary size: its directory, cleared of files that ended processes
+/// left, and its threads.
+fn open_body_store(
     bodies: &Bodies,
     disk: Option<Arc<dyn Disk>>,
     log: &Logger,
@@ -773,17 +847,18 @@
         if let Some(disk) = disk {
             return Ok((None, IoThreads::start(disk, files.threads, files.zstd)?));
         }
-        let named = |e: io::Error| io::Error::new(e.kind(), format!("bodies.files.dir: {}: {e}", files.dir.display()));
-        let folder = SpoolDirectory::open(&files.dir).map_err(named)?;
-        slog::info!(log, "files for bodies"; "folder" => %folder.path().display(), "removed" => folder.removed);
-        let folder = Arc::new(folder);
-        Ok((Some(folder.clone()), IoThreads::start(folder, files.threads, files.zstd)?))
+        let with_path = |e: io::Error| io::Error::new(e.kind(), format!("bodies.files.dir: {}: {e}", files.dir.display()));
+        let directory = SpoolDirectory::open(&files.dir).map_err(with_path)?;
+        slog::info!(log, "files for bodies"; "folder" => %directory.path().display(), "removed" => directory.removed);
+        let directory = Arc::new(directory);
+        Ok((Some(directory.clone()), IoThreads::start(directory, files.threads, files.zstd)?))
     });
-    let (folder, threads) = threads.transpose()?.unzip();
-    Ok((BodyStore::new(bodies.bounds(), threads), folder.flatten()))
+    let (directory, threads) = threads.transpose()?.unzip();
+    Ok((BodyStore::new(bodies.bounds(), threads), directory.flatten()))
 }
 
-/// An address that a gateway before us had is free at once; a burst of new connections is kept waiting.
+/// Binds a listener. An address that a previous gateway had is available at once, and bursts of new
+/// connections queue up.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => actix_rt::net::TcpSocket::new_v4(),
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -1,5 +1,6 @@
-//! Statements whose clients come back for the answer: one that takes long is answered with a path first, so that neither a
-//! broken connection nor a client that vanished without a word decides over it for long.
+//! Sessions of statements whose clients poll for the answer. A statement that takes long is first answered
+//! with a path to poll, so that a broken connection does not end it and a client that disappeared silently
+//! does not keep it running for long.
 
 use crate::reducer::{Answer, Input};
 use crate::runtime::Core;
@@ -12,56 +13,71 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, Notify};
 
-/// A client without a call open for so long is absent, and nothing new begins for it: it may have gone. It calls again at once
-/// where its connection broke.
-const ABSENT: Duration = Duration::from_millis(80);
-/// One that does not come back for so long has left, and an answer is kept for so long after it was asked for.
-const LEFT: Duration = Duration::from_secs(2);
+/// A client with no open call for this long is not polling, and no new execution starts for it, as it may
+/// have disconnected. A client whose connection broke calls again at once.
+const NOT_POLLING_AFTER: Duration = Duration::from_millis(80);
+/// A client with no open call for this long has disconnected. An answer is kept for this long after the last
+/// poll.
+const DISCONNECTED_AFTER: Duration = Duration::from_secs(2);
 
+/// A statement whose client polls for the answer.
 pub struct Session {
     id: Id,
-    /// What the client comes back to: nobody else can name it, as nobody else can stop it.
+    /// The path that the client polls. It is secret, so that only this client can fetch the answer or cancel
+    /// the statement.
     pub path: String,
     answer: RefCell<Option<Answer>>,
     answered: Notify,
-    /// Calls that wait now, when the last one ended, and that a first one came or the last one ended.
-    waiting: Cell<usize>,
-    seen: Cell<Instant>,
-    called: Notify,
-    /// The answer was handed to a call.
-    handed: Cell<bool>,
-    /// The text was not kept, as that stands.
-    pub unkept: Option<Rc<Cell<bool>>>,
+    /// Number of open calls.
+    open_calls: Cell<usize>,
+    /// When the last call ended.
+    last_call_ended: Cell<Instant>,
+    /// A call has begun or ended.
+    calls_changed: Notify,
+    /// The answer was returned to a call.
+    delivered: Cell<bool>,
+    /// Whether the body is not kept; the body store updates it.
+    pub not_kept: Option<Rc<Cell<bool>>>,
 }
 
-/// Bounded by `most`; emptied of a session once its client has been absent.
+/// All sessions, at most `max_sessions`. A session is removed some time after its client's last call.
 pub struct Sessions {
     by_path: RefCell<HashMap<String, Rc<Session>>>,
-    most: usize,
-    /// Paths are the hashes of a count under keys of the system's own: who knows his own path knows no other.
-    keys: RandomState,
-    given: Cell<u64>,
+    max_sessions: usize,
+    /// A path is the hash of a counter under random keys, so that nobody can derive another client's path
+    /// from their own.
+    path_keys: RandomState,
+    paths_issued: Cell<u64>,
 }
 
 impl Sessions {
-    pub fn new(most: usize) -> Sessions {
-        Sessions { by_path: RefCell::default(), most, keys: RandomState::new(), given: Cell::new(0) }
+    /// No sessions yet, with room for `max_sessions`.
+    pub fn new(max_sessions: usize) -> Sessions {
+        Sessions {
+            by_path: RefCell::default(),
+            max_sessions,
+            path_keys: RandomState::new(),
+            paths_issued: Cell::new(0),
+        }
     }
 
-    pub fn have_room(&self) -> bool {
-        self.by_path.borrow().len() < self.most
+    /// Whether another session may be opened.
+    pub fn has_capacity(&self) -> bool {
+        self.by_path.borrow().len() < self.max_sessions
     }
 
-    /// Answers that no call has been given yet.
-    pub fn owed(&self) -> usize {
-        self.by_path.borrow().values().filter(|session| !session.handed.get()).count()
+    /// Sessions whose answer has not been returned to a call yet.
+    pub fn undelivered_answers(&self) -> usize {
+        self.by_path.borrow().values().filter(|session| !session.delivered.get()).count()
     }
 
+    /// The session with this path.
     pub fn get(&self, path: &str) -> Option<Rc<Session>> {
         self.by_path.borrow().get(path).cloned()
     }
 
-    /// The client does not want it any longer.
+    /// Removes a session at its client's request and cancels the statement if it has no answer yet. False if
+    /// there is none.
     pub fn remove(&self, core: &Rc<Core>, path: &str) -> bool {
         let session = self.by_path.borrow_mut().remove(path);
         if let Some(session) = &session {
@@ -72,55 +88,55 @@
         session.is_some()
     }
 
-    /// From now on the answer is to be had by coming back to the path that is returned.
+    /// Opens a session for a statement and returns the path at which its client polls for the answer.
     pub fn open(
         self: &Rc<Self>,
         core: &Rc<Core>,
         id: Id,
         mut answer: oneshot::Receiver<Answer>,
-        unkept: Option<Rc<Cell<bool>>>,
+        not_kept: Option<Rc<Cell<bool>>>,
     ) -> String {
-        self.given.set(self.given.get() + 1);
-        let path = format!("{:016x}", self.keys.hash_one(self.given.get()));
+        self.paths_issued.set(self.paths_issued.get() + 1);
+        let path = format!("{:016x}", self.path_keys.hash_one(self.paths_issued.get()));
         let session = Rc::new(Session {
             id: id.clone(),
             path: path.clone(),
             answer: RefCell::default(),
             answered: Notify::new(),
-            waiting: Cell::new(0),
-            seen: Cell::new(Instant::now()),
-            called: Notify::new(),
-            handed: Cell::new(false),
-            unkept,
+            open_calls: Cell::new(0),
+            last_call_ended: Cell::new(Instant::now()),
+            calls_changed: Notify::new(),
+            delivered: Cell::new(false),
+            not_kept,
         });
         self.by_path.borrow_mut().insert(path.clone(), session.clone());
         let (sessions, core) = (self.clone(), core.clone());
         actix_rt::spawn(async move {
-            let mut absent = false;
+            let mut not_polling = false;
             loop {
                 tokio::select! {
                     biased;
                     answer = &mut answer => {
-                        session.give(answer.unwrap_or(Answer::Aborted));
+                        session.set_answer(answer.unwrap_or(Answer::Aborted));
                         break;
                     }
-                    () = session.called.notified() => {}
-                    () = session.alone_for(if absent { LEFT } else { ABSENT }) => {}
+                    () = session.calls_changed.notified() => {}
+                    () = session.idle_for(if not_polling { DISCONNECTED_AFTER } else { NOT_POLLING_AFTER }) => {}
                 }
-                core.settled().await;
-                let alone = session.alone();
-                if alone >= LEFT {
-                    // Its answer comes at once, by the same way.
+                core.wait_for_backlog().await;
+                let idle = session.idle_time();
+                if idle >= DISCONNECTED_AFTER {
+                    // The reducer answers at once, which ends this loop.
                     core.input(Input::Left(id.clone()));
-                } else if absent != (alone >= ABSENT) {
-                    absent = !absent;
-                    core.input(Input::Absent(id.clone(), absent));
+                } else if not_polling != (idle >= NOT_POLLING_AFTER) {
+                    not_polling = !not_polling;
+                    core.input(Input::Absent(id.clone(), not_polling));
                 }
             }
-            while session.alone() < LEFT {
+            while session.idle_time() < DISCONNECTED_AFTER {
                 tokio::select! {
-                    () = session.called.notified() => {}
-                    () = session.alone_for(LEFT) => core.settled().await,
+                    () = session.calls_changed.notified() => {}
+                    () = session.idle_for(DISCONNECTED_AFTER) => core.wait_for_backlog().await,
                 }
             }
             sessions.by_path.borrow_mut().remove(&session.path);
@@ -130,37 +146,38 @@
 }
 
 impl Session {
-    fn give(&self, answer: Answer) {
+    /// Stores the answer and wakes the calls that wait for it.
+    fn set_answer(&self, answer: Answer) {
         self.answer.replace(Some(answer));
         self.answered.notify_waiters();
     }
 
     /// How long no call has been open.
-    fn alone(&self) -> Duration {
-        if self.waiting.get() == 0 {
-            self.seen.get().elapsed()
+    fn idle_time(&self) -> Duration {
+        if self.open_calls.get() == 0 {
+            self.last_call_ended.get().elapsed()
         } else {
             Duration::ZERO
         }
     }
 
-    /// Returns once no call has been open for so long; never while one is.
-    async fn alone_for(&self, span: Duration) {
-        match self.waiting.get() {
-            0 => sleep_until((self.seen.get() + span).into()).await,
+    /// Returns once no call has been open for `span`; never while a call is open.
+    async fn idle_for(&self, span: Duration) {
+        match self.open_calls.get() {
+            0 => sleep_until((self.last_call_ended.get() + span).into()).await,
             _ => std::future::pending().await,
         }
     }
 
-    /// The answer, if it comes within `within` and before `gone`.
-    pub async fn wait(
+    /// The answer, if there is one within `time_limit` and before the client has closed its connection.
+    pub async fn wait_for_answer(
         &self,
-        within: Duration,
-        gone: impl std::future::Future<Output = ()>,
+        time_limit: Duration,
+        client_closed: impl std::future::Future<Output = ()>,
     ) -> Option<Answer> {
-        self.waiting.set(self.waiting.get() + 1);
-        self.called.notify_one();
-        let _call = Calling(self);
+        self.open_calls.set(self.open_calls.get() + 1);
+        self.calls_changed.notify_one();
+        let _call = OpenCall(self);
         let answered = async {
             while self.answer.borrow().is_none() {
                 self.answered.notified().await;
@@ -168,21 +185,22 @@
         };
         tokio::select! {
             biased;
-            _ = timeout(within, answered) => {}
-            () = gone => return None,
+            _ = timeout(time_limit, answered) => {}
+            () = client_closed => return None,
         }
         let answer = self.answer.borrow().clone();
-        self.handed.set(answer.is_some());
+        self.delivered.set(answer.is_some());
         answer
     }
 }
 
-struct Calling<'a>(&'a Session);
+/// Counts as an open call on the session until it is dropped.
+struct OpenCall<'a>(&'a Session);
 
-impl Drop for Calling<'_> {
+impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
-        self.0.waiting.set(self.0.waiting.get() - 1);
-        self.0.seen.set(Instant::now());
-        self.0.called.notify_one();
+        self.0.open_calls.set(self.0.open_calls.get() - 1);
+        self.0.last_call_ended.set(Instant::now());
+        self.0.calls_changed.notify_one();
     }
 }
--- a/crates/gateway/src/tables.rs
+++ b/crates/gateway/src/tables.rs
@@ -1,12 +1,12 @@
-//! The group of tables that a statement reads or writes: the number behind the underscore in the name of the
-//! schema. Names in strings and comments do not count, nor does a schema without such a number.
+//! Determines the table group that a statement reads or writes: the number after the underscore in the
+//! schema's name. Names in strings and comments do not count, nor does a schema without such a number.
 
 use sqlparser::dialect::GenericDialect;
 use sqlparser::keywords::Keyword;
 use sqlparser::tokenizer::{Token, Tokenizer};
 
-/// Words behind which the name of a table stands.
-const BEFORE_TABLES: [Keyword; 9] = [
+/// Keywords that are followed by the name of a table.
+const TABLE_KEYWORDS: [Keyword; 9] = [
     Keyword::FROM,
     Keyword::JOIN,
     Keyword::INTO,
@@ -18,64 +18,67 @@
     Keyword::COPY,
 ];
 
-/// Of a long text, what is looked at first.
-const BEGINNING: usize = 2048;
+/// Bytes at the start of a long statement that are searched first.
+const PREFIX_BYTES: usize = 2048;
 
-/// None where the text names no group; what comes behind a place that cannot be read is passed over.
+/// The table group of a statement; none if it names none. Text after a tokenizer error is ignored.
 pub fn group(statement: &[u8]) -> Option<u64> {
-    // Most name their tables at once, and what follows in a long one may be rows without end.
-    let first = statement.get(..BEGINNING).and_then(group_of_prefix);
+    // Most statements name their tables at the start, and the rest of a long one may be any number of rows.
+    let first = statement.get(..PREFIX_BYTES).and_then(group_of_prefix);
     first.or_else(|| find(statement, true))
 }
 
+/// Searches the statement, or a prefix of it unless `whole`.
 fn find(statement: &[u8], whole: bool) -> Option<u64> {
     let text = String::from_utf8_lossy(statement);
     let mut tokens = Vec::new();
-    // An error leaves the tokens before it.
+    // On an error the tokens before it are kept.
     let _ = Tokenizer::new(&GenericDialect {}, &text).tokenize_with_location_into_buf(&mut tokens);
     let tokens: Vec<Token> = tokens.into_iter().map(|t| t.token).collect();
     let tokens: Vec<&Token> = tokens.iter().filter(|t| !matches!(t, Token::Whitespace(_))).collect();
-    // Whether a list of tables goes on there, whether a table was found, and the first group of another name.
-    let (mut listing, mut tables, mut other) = (false, false, None);
+    // Whether the position is within a list of tables, whether a table was found, and the first group in any
+    // other name.
+    let (mut in_table_list, mut found_table, mut other_group) = (false, false, None);
     let mut at = 0;
     while at < tokens.len() {
         let name = name_at(&tokens, at);
-        // The cut may be within a dotted name.
+        // The prefix may end within a dotted name.
         if !whole && at + 2 * name.len() >= tokens.len() {
             return None;
         }
         let before = at.checked_sub(1).map(|before| tokens[before]);
         if let [.., schema, _] = name[..] {
-            let group = number(schema);
-            listing = match before {
-                Some(Token::Comma) => listing,
-                Some(Token::Word(word)) => BEFORE_TABLES.contains(&word.keyword),
+            let group = schema_number(schema);
+            in_table_list = match before {
+                Some(Token::Comma) => in_table_list,
+                Some(Token::Word(word)) => TABLE_KEYWORDS.contains(&word.keyword),
                 _ => false,
             };
-            if listing && group.is_some() {
+            if in_table_list && group.is_some() {
                 return group;
             }
-            (tables, other) = (tables || listing, other.or(group));
+            (found_table, other_group) = (found_table || in_table_list, other_group.or(group));
         } else {
-            listing &= match tokens[at] {
+            in_table_list &= match tokens[at] {
                 Token::Word(word) => matches!(word.keyword, Keyword::NoKeyword | Keyword::AS),
                 token => *token == Token::Comma,
             };
         }
         at += (2 * name.len()).max(2) - 1;
     }
-    // Without any table, such as in commands that are not known here, another name will do.
-    other.filter(|_| !tables && whole)
+    // A statement in which no table was recognized, such as an unknown command, takes the group of another
+    // name.
+    other_group.filter(|_| !found_table && whole)
 }
 
-/// Of the first part of a text: none rather than a wrong one, so what the cut may have shortened does not count, and no name
-/// that only might be a table's.
-pub fn group_of_prefix(part: &[u8]) -> Option<u64> {
-    let whole = part.iter().rposition(|byte| byte.is_ascii_whitespace())?;
-    find(&part[..whole], false)
+/// The table group from the first part of a statement: none rather than a wrong one. Words that the end of
+/// the prefix may have shortened do not count, nor do names that are not certain to be a table's.
+pub fn group_of_prefix(prefix: &[u8]) -> Option<u64> {
+    let end = prefix.iter().rposition(|byte| byte.is_ascii_whitespace())?;
+    find(&prefix[..end], false)
 }
 
-/// The words of a dotted name that begins there.
+/// The words of the dotted name that begins at this token.
 fn name_at<'a>(tokens: &[&'a Token], at: usize) -> Vec<&'a str> {
     let mut words = Vec::new();
     for pair in tokens[at..].chunks(2) {
@@ -88,7 +91,7 @@
     words
 }
 
-fn number(schema: &str) -> Option<u64> {
+fn schema_number(schema: &str) -> Option<u64> {
     let (_, number) = schema.rsplit_once('_')?;
     number.bytes().all(|b| b.is_ascii_digit()).then(|| number.parse().ok()).flatten()
 }
--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -1,5 +1,5 @@
-//! What happens to each statement, by its id, for whoever follows one through the log: written at the level `debug` only, and not
-//! even put together above it.
+//! Traces single statements through the log by their ids. Lines are written at the level `debug` only, and
+//! not even formatted at higher levels.
 
 use crate::reducer::{Answer, Ending, Input};
 use bramblewharf::interface::Id;
@@ -8,15 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The lines of single statements, attempts and changes of the list.
+/// Writes the lines about single statements, attempts and changes of the engine list.
 pub struct Trace {
     log: Logger,
-    on: bool,
+    enabled: bool,
 }
 
-/// An attempt that goes out.
+/// An attempt to be sent to an engine.
 pub struct Attempt<'a> {
+    /// The statement.
     pub id: &'a Id,
+    /// Number of the execution within the statement.
     pub execution: usize,
     pub engine: &'a Id,
     pub address: SocketAddr,
@@ -26,14 +28,14 @@
 }
 
 impl Trace {
-    /// Writes where the log takes lines of the level `debug`.
+    /// A trace that is enabled if the log accepts lines of the level `debug`.
     pub fn new(log: &Logger) -> Trace {
-        Trace { log: log.clone(), on: log.is_debug_enabled() }
+        Trace { log: log.clone(), enabled: log.is_debug_enabled() }
     }
 
-    /// What came from outside.
+    /// Logs an input of the reducer, if it concerns a single statement.
     pub fn input(&self, input: &Input) {
-        if !self.on {
+        if !self.enabled {
             return;
         }
         match input {
@@ -62,9 +64,9 @@
             "outcome" => ?ending.outcome, "pages" => ending.pages.len());
     }
 
-    /// An attempt that the decisions have begun; no byte of it has gone out yet.
+    /// Logs an attempt that the scheduler has decided on; no byte of it has been sent yet.
     pub fn decided(&self, attempt: &Attempt<'_>) {
-        if self.on {
+        if self.enabled {
             slog::debug!(self.log, "attempt decided"; "id" => &**attempt.id, "execution" => attempt.execution,
                 "engine" => &**attempt.engine, "address" => %attempt.address,
                 "timeout_ms" => attempt.timeout.as_millis() as u64,
@@ -72,32 +74,32 @@
         }
     }
 
-    /// The guard let an attempt's first byte go out, or held it back by this rule.
-    pub fn goes_out(&self, id: &Id, execution: usize, lapsed: Option<Rule>, list_age: Duration) {
-        if self.on {
-            let (rule, age) = (lapsed.map(|rule| format!("{rule:?}")), list_age.as_millis() as u64);
+    /// Logs that the send guard let an attempt's first byte go out, or held it back by this rule.
+    pub fn send_guard(&self, id: &Id, execution: usize, held_back_by: Option<Rule>, list_age: Duration) {
+        if self.enabled {
+            let (rule, age) = (held_back_by.map(|rule| format!("{rule:?}")), list_age.as_millis() as u64);
             slog::debug!(self.log, "attempt goes out"; "id" => &**id, "execution" => execution,
                 "held_back_by" => rule, "list_age_ms" => age);
         }
     }
 
-    /// An attempt is given up.
-    pub fn stops(&self, id: &Id, execution: usize, engine: &Id) {
-        if self.on {
+    /// Logs that an attempt is given up.
+    pub fn stopped(&self, id: &Id, execution: usize, engine: &Id) {
+        if self.enabled {
             slog::debug!(self.log, "attempt given up"; "id" => &**id, "execution" => execution, "engine" => &**engine);
         }
     }
 
-    /// The decisions gave a statement up.
+    /// Logs the statements that the scheduler gave up, each with its reason.
     pub fn refused(&self, refused: &[(Id, Refusal)]) {
-        for (id, why) in refused.iter().filter(|_| self.on) {
+        for (id, why) in refused.iter().filter(|_| self.enabled) {
             slog::debug!(self.log, "statement given up"; "id" => &**id, "why" => ?why);
         }
     }
 
-    /// The one final answer.
+    /// Logs the one final answer of a statement.
     pub fn answered(&self, caller: u64, answer: &Answer, awaited: bool) {
-        if self.on {
+        if self.enabled {
             let answer = match answer {
                 Answer::Completed(_) => "completed",
                 Answer::Rejected(_) => "rejected",
@@ -108,9 +110,9 @@
         }
     }
 
-    /// An engine is on the list anew, or in another state.
+    /// Logs an engine that is new on the list or has changed its state.
     pub fn listed(&self, id: &str, state: &str, address: Option<SocketAddr>) {
-        if self.on {
+        if self.enabled {
             let address = address.map(|address| address.to_string());
             slog::debug!(self.log, "engine on the list"; "engine" => id, "state" => state, "address" => address);
         }
--- a/crates/gateway/src/upload.rs
+++ b/crates/gateway/src/upload.rs
@@ -1,6 +1,6 @@
-//! A text that is kept apart, on its way to an engine: awc sends it piece by piece, and an engine that answers before all of it
-//! has come is heard at once. The clock of an answer runs from the last piece, and neither a client that is slow nor a disk
-//! counts against the engine.
+//! Uploads a body from the body store to an engine. awc sends it chunk by chunk, and an answer that comes
+//! before the end of the body is noticed at once. The time limit of an answer runs from the last chunk, so
+//! that neither a slow client nor a slow disk counts against the engine.
 
 use crate::connection::Connection;
 use actix_http::body::{BodySize, MessageBody};
@@ -17,30 +17,34 @@
 use std::task::{ready, Context, Poll, Waker};
 use std::time::Duration;
 
-/// How often it is looked at, and how long an engine may take nothing of what is ready for it.
-const LOOK: Duration = Duration::from_millis(20);
-const TAKES_NOTHING: Duration = Duration::from_secs(2);
-/// What stands for the rest of a text that nobody wants: none of it is written.
+/// Interval at which the progress of an upload is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long an engine may accept none of the data that is ready for it.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Placeholder for the rest of a body after an early answer; it satisfies the declared length and is never
+/// written.
 static FILLER: [u8; 64 * 1024] = [0; 64 * 1024];
 
-/// Set once the engine has answered: nothing more is written.
+/// Set once the engine has answered early: nothing more of the body is written.
 #[derive(Default)]
 pub struct StopSignal {
-    cut: Cell<bool>,
+    stopped: Cell<bool>,
     waker: Cell<Option<Waker>>,
 }
 
-/// The body of a call, as awc wants it.
+/// The body of a call to an engine, as awc's `MessageBody`.
 pub struct UploadBody {
     outgoing: Outgoing,
-    cut: Rc<StopSignal>,
-    left: Option<u64>,
+    stop_signal: Rc<StopSignal>,
+    /// Bytes not yet sent, if the length is known.
+    remaining: Option<u64>,
 }
 
 impl UploadBody {
-    pub fn new(outgoing: Outgoing, cut: Rc<StopSignal>) -> UploadBody {
-        let left = outgoing.length();
-        UploadBody { outgoing, cut, left }
+    /// A body that sends `outgoing` until the signal is set.
+    pub fn new(outgoing: Outgoing, stop_signal: Rc<StopSignal>) -> UploadBody {
+        let remaining = outgoing.length();
+        UploadBody { outgoing, stop_signal, remaining }
     }
 }
 
@@ -48,43 +52,46 @@
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
-        self.left.map_or(BodySize::Stream, BodySize::Sized)
+        self.remaining.map_or(BodySize::Stream, BodySize::Sized)
     }
 
     fn poll_next(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         let this = self.get_mut();
-        if this.cut.cut.get() {
-            let length = this.left.unwrap_or(0).min(FILLER.len() as u64);
-            this.left = this.left.map(|left| left - length);
+        if this.stop_signal.stopped.get() {
+            let length = this.remaining.unwrap_or(0).min(FILLER.len() as u64);
+            this.remaining = this.remaining.map(|remaining| remaining - length);
             return Poll::Ready((length > 0).then(|| Ok(Bytes::from_static(&FILLER[..length as usize]))));
         }
-        this.cut.waker.set(Some(cx.waker().clone()));
+        this.stop_signal.waker.set(Some(cx.waker().clone()));
         let next = ready!(Pin::new(&mut this.outgoing).poll_next(cx));
-        if let (Some(Ok(piece)), Some(left)) = (&next, &mut this.left) {
-            *left = left.saturating_sub(piece.len() as u64);
+        if let (Some(Ok(chunk)), Some(remaining)) = (&next, &mut this.remaining) {
+            *remaining = remaining.saturating_sub(chunk.len() as u64);
         }
         Poll::Ready(next)
     }
 }
 
-/// Who watches over it.
+/// Watches the progress of an upload and the connection it uses.
 pub struct UploadWatch {
-    pace: Rc<Progress>,
+    progress: Rc<Progress>,
     connection: Rc<Connection>,
-    cut: Rc<StopSignal>,
+    stop_signal: Rc<StopSignal>,
 }
 
 impl UploadWatch {
+    /// Watches `outgoing` as it is sent on `connection`.
     pub fn new(outgoing: &Outgoing, connection: Rc<Connection>) -> UploadWatch {
-        UploadWatch { pace: outgoing.progress.clone(), connection, cut: Rc::default() }
+        UploadWatch { progress: outgoing.progress.clone(), connection, stop_signal: Rc::default() }
     }
 
+    /// The signal that ends the upload's body early.
     pub fn stop_signal(&self) -> Rc<StopSignal> {
-        self.cut.clone()
+        self.stop_signal.clone()
     }
 
-    /// What came of the call, if the engine goes on taking pieces, answers soon after the last, and is whole `within` that time once
-    /// it has begun early. None as soon as it may no longer come whole, or nothing comes: its connection is then reset.
+    /// Waits for the result of the call. None if the engine stops accepting chunks, does not answer soon
+    /// after the last one, does not finish an early answer `within` that time, or if the call may no longer
+    /// arrive: its connection is then reset.
     pub async fn watch<T>(
         self,
         within: Duration,
@@ -96,20 +103,24 @@
             tokio::select! {
                 biased;
                 reply = &mut answered => return Some(reply),
-                () = sleep(LOOK) => {}
+                () = sleep(CHECK_INTERVAL) => {}
             }
             if !may_arrive() {
                 return None;
             }
-            if !self.cut.cut.get() && !self.pace.finished.get() && self.connection.answers_early() {
-                self.cut.cut.set(true);
-                self.pace.last_activity.set(std::time::Instant::now());
-                self.cut.waker.take().into_iter().for_each(Waker::wake);
+            if !self.stop_signal.stopped.get()
+                && !self.progress.finished.get()
+                && self.connection.answers_early()
+            {
+                self.stop_signal.stopped.set(true);
+                self.progress.last_activity.set(std::time::Instant::now());
+                self.stop_signal.waker.take().into_iter().for_each(Waker::wake);
             }
-            let over = self.pace.finished.get() || self.cut.cut.get();
-            // Behind the last piece megabytes may still be in the system's buffers.
-            let patience = if self.cut.cut.get() { within } else { TAKES_NOTHING };
-            if (over || !self.pace.waits_for_data.get()) && self.pace.last_activity.get().elapsed() > patience
+            let all_sent = self.progress.finished.get() || self.stop_signal.stopped.get();
+            // After the last chunk, megabytes may still be in the kernel's socket buffers.
+            let time_limit = if self.stop_signal.stopped.get() { within } else { STALL_TIMEOUT };
+            if (all_sent || !self.progress.waits_for_data.get())
+                && self.progress.last_activity.get().elapsed() > time_limit
             {
                 return None;
             }
