--- a/crates/bodies/tests/store.rs
+++ b/crates/bodies/tests/store.rs
@@ -94,7 +94,7 @@
             // Two readers of the same body at once.
             let (one, two) = tokio::join!(read_body(&body), read_body(&body));
             assert!(one.unwrap() == content && two.unwrap() == content);
-            assert_eq!(disk.0.made.load(SeqCst), usize::from(tier == Tier::File));
+            assert_eq!(disk.0.created.load(SeqCst), usize::from(tier == Tier::File));
         }
         assert!(is_empty(store.counts()));
         // The file is closed by an I/O thread.
@@ -185,7 +185,7 @@
             for other in &others {
                 kept.push(store_body(&store, other, false).await.unwrap());
             }
-            disk.0.room.store(room as i64, SeqCst);
+            disk.0.free_bytes.store(room as i64, SeqCst);
             let content = make_body(1_000_000, 99);
             let body = store.begin(Some(content.len() as u64), false).unwrap();
             let received = push_and_read_falling_body(&body, &content).await;
@@ -193,7 +193,7 @@
             assert!(!body.is_kept() && body.start_sending().is_none() && body.not_kept().get());
             assert!(store.take_last_error().is_some());
             // A strict body is refused and leaves nothing behind.
-            disk.0.room.store(room as i64, SeqCst);
+            disk.0.free_bytes.store(room as i64, SeqCst);
             assert_eq!(
                 store_body(&store, &content, true).await.err(),
                 Some(Refusal::NoCapacity),
@@ -202,7 +202,7 @@
             drop(body);
             assert_eq!((store.counts().bodies, store.counts().files), (50, 50));
             // Once there is space again, bodies are kept as before.
-            disk.0.room.store(-1, SeqCst);
+            disk.0.free_bytes.store(-1, SeqCst);
             let again = store_body(&store, &content, true).await.unwrap();
             assert!(read_body(&again).await.unwrap() == content);
             for (body, other) in kept.iter().zip(&others) {
@@ -217,7 +217,7 @@
     run(async {
         type InjectFault = fn(&FaultyDisk);
         let faults: [InjectFault; 2] =
-            [|disk| disk.0.files.store(0, SeqCst), |disk| disk.0.failing.store(1, SeqCst)];
+            [|disk| disk.0.files_allowed.store(0, SeqCst), |disk| disk.0.io_errors.store(1, SeqCst)];
         for inject_fault in faults {
             let disk = FaultyDisk::default();
             let store = store(&disk);
@@ -246,14 +246,14 @@
                     store_body(&store, &content, true).await.unwrap(),
                     store_body(&store, &content[1..], true).await.unwrap(),
                 );
-                disk.0.wrong_byte.store(wrong_byte, SeqCst);
-                disk.0.cut_at.store(cut_at, SeqCst);
-                disk.0.failing.store(failing, SeqCst);
+                disk.0.corrupted_byte.store(wrong_byte, SeqCst);
+                disk.0.truncated_at.store(cut_at, SeqCst);
+                disk.0.io_errors.store(failing, SeqCst);
                 let not_kept = body.not_kept();
                 assert!(!not_kept.get());
                 assert!(read_body(&body).await.is_err());
                 assert!(not_kept.get() && !body.is_kept() && body.start_sending().is_none());
-                for fault in [&disk.0.wrong_byte, &disk.0.cut_at] {
+                for fault in [&disk.0.corrupted_byte, &disk.0.truncated_at] {
                     fault.store(0, SeqCst);
                 }
                 assert!(read_body(&other).await.unwrap() == content[1..], "other bodies are not affected");
@@ -283,12 +283,12 @@
             assert!(read_body(body).await.unwrap() == *content);
         }
         // Bodies that are dropped while they move to a file leave nothing behind.
-        disk.hold(true);
+        disk.block_writes(true);
         let more: Vec<_> =
             [store_body(&store, &contents[0], true).await, store_body(&store, &contents[1], true).await]
                 .into();
         drop((more, bodies));
-        disk.hold(false);
+        disk.block_writes(false);
         while disk.0.open.load(SeqCst) > 0 {
             tokio::task::yield_now().await;
         }
--- a/crates/gateway/benches/bodies.rs
+++ b/crates/gateway/benches/bodies.rs
@@ -1,7 +1,7 @@
 //! What keeping texts costs, by tier: the program itself, stand-in engines, clients in this process. Ratios count, as all of it
 //! is one run: `cargo bench -p bramblewharf-gateway --bench bodies`.
 
-use bramblewharf_standins::{answer, nobody, read_message, Call, Engine, Reply};
+use bramblewharf_standins::{answer, read_message, unused_address, Call, Engine, Reply};
 use serde_json::json;
 use std::io::{BufReader, Write as _};
 use std::net::{SocketAddr, TcpStream};
@@ -21,7 +21,7 @@
 impl Program {
     fn start(engines: &[SocketAddr], bodies: &str) -> Program {
         let dir = tempfile::tempdir().unwrap();
-        let listen = nobody();
+        let listen = unused_address();
         let members: Vec<_> = engines
             .iter()
             .enumerate()
@@ -239,7 +239,7 @@
         let ill = Engine::start(
             |call: &Call| if call.method == "POST" { Reply::Reset } else { answer(500, "", b"") },
         );
-        let well = Engine::well();
+        let well = Engine::healthy();
         let program = Program::start(&[ill.address, well.address], &bodies);
         let text = text(MB);
         let mut completed = 0;
@@ -249,7 +249,7 @@
         }
         println!(
             "an engine of two lost, {name:10} {completed} of 40 loads completed, {} of them met it",
-            ill.posts()
+            ill.post_count()
         );
     }
 }
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -56,14 +56,14 @@
         Command::CheckConfig { config: None, settings: Some(settings) }
             if std::env::var_os("EDGE_CONFIG").is_none() =>
         {
-            operators::check_alone(&settings).map(|()| println!("{}: well", settings.display()))
+            operators::check_file(&settings).map(|()| println!("{}: well", settings.display()))
         }
         Command::CheckConfig { config, settings } => config::load(config, settings.as_deref()).map(|start| {
             println!(
                 "{}: {} workloads, {} engines known",
                 start.name,
                 start.site.workloads.len(),
-                start.known.list.len()
+                start.cached_engines.list.len()
             );
         }),
         Command::Version => {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The fleet's datagrams, the status that others may read, and the facts for checkers: adapters, which decide nothing.
 
-use crate::operators::FleetTerms;
+use crate::operators::FleetParameters;
 use bramblewharf_budgets::usage::units;
 use bramblewharf_fleet::leader::MemberStatus;
 use bramblewharf_fleet::node::{Node, Recipient, Status};
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 
 /// Bytes that are sent in a second at most; what is beyond is lost, as any datagram may be, and counted.
-pub const MOST_A_SECOND: u64 = 1 << 20;
+pub const MAX_BYTES_PER_SECOND: u64 = 1 << 20;
 
 pub struct Link {
     socket: UdpSocket,
@@ -26,33 +26,33 @@
     seats: Vec<SocketAddr>,
     /// Bytes sent since, and what went beyond the bound.
     sent: Cell<(Option<Instant>, u64)>,
-    pub held_back: Cell<u64>,
+    pub rate_limited: Cell<u64>,
     /// Datagrams too long, of other keys or fleets, or not readable.
-    pub passed_over: Cell<u64>,
-    facts: Option<RefCell<Facts>>,
+    pub ignored: Cell<u64>,
+    facts: Option<RefCell<FactsLog>>,
     status: Option<SyncSender<String>>,
 }
 
 impl Link {
-    pub async fn bind(terms: &FleetTerms) -> io::Result<Link> {
+    pub async fn bind(terms: &FleetParameters) -> io::Result<Link> {
         let socket = UdpSocket::bind(terms.listen).await?;
-        let facts = terms.facts.as_deref().map(Facts::open).transpose()?.map(RefCell::new);
-        let status = terms.status.clone().map(writer).transpose()?;
+        let facts = terms.facts.as_deref().map(FactsLog::open).transpose()?.map(RefCell::new);
+        let status = terms.status.clone().map(start_status_writer).transpose()?;
         Ok(Link {
             socket,
             key: terms.key.clone(),
             fleet: terms.start.config.fleet,
             seats: terms.seats.clone(),
             sent: Cell::new((None, 0)),
-            held_back: Cell::new(0),
-            passed_over: Cell::new(0),
+            rate_limited: Cell::new(0),
+            ignored: Cell::new(0),
             facts,
             status,
         })
     }
 
     /// Sends at once or not at all: whatever is said is said again until it is answered.
-    pub fn say(&self, to: &Recipient, envelope: &Envelope) {
+    pub fn send(&self, to: &Recipient, envelope: &Envelope) {
         let address = match to {
             Recipient::Voter(seat) => self.seats.get(usize::from(*seat)).copied(),
             Recipient::Address(address) => Some(*address),
@@ -63,21 +63,21 @@
             Some(since) => (since, sent),
             None => (Instant::now(), 0),
         };
-        if sent + bytes.len() as u64 > MOST_A_SECOND {
-            self.held_back.set(self.held_back.get() + 1);
+        if sent + bytes.len() as u64 > MAX_BYTES_PER_SECOND {
+            self.rate_limited.set(self.rate_limited.get() + 1);
             return;
         }
         self.sent.set((Some(since), sent + bytes.len() as u64));
         let _ = self.socket.try_send_to(&bytes, address);
     }
 
-    pub async fn hear(&self) -> (Envelope, SocketAddr) {
+    pub async fn receive(&self) -> (Envelope, SocketAddr) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut bytes).await {
                 Ok((length, from)) => match Envelope::decode(&bytes[..length], &self.key, self.fleet) {
                     Some(envelope) => return (envelope, from),
-                    None => self.passed_over.set(self.passed_over.get() + 1),
+                    None => self.ignored.set(self.ignored.get() + 1),
                 },
                 // A peer that is down makes its errors ours; none of them is worth a busy loop.
                 Err(_) => actix_rt::time::sleep(Duration::from_millis(1)).await,
@@ -86,34 +86,34 @@
     }
 
     /// Notes what the gateway has now, where that is asked for and has changed.
-    pub fn note(&self, now: Duration, node: &mut Node, policy: Option<&Decides>) {
+    pub fn record_facts(&self, now: Duration, node: &mut Node, policy: Option<&PolicyFact>) {
         if let Some(facts) = &self.facts {
             facts.borrow_mut().note(now, node, policy);
         }
     }
 
-    pub fn wants_facts(&self) -> bool {
+    pub fn has_facts_file(&self) -> bool {
         self.facts.is_some()
     }
 
-    pub fn wants_status(&self) -> bool {
+    pub fn has_status_file(&self) -> bool {
         self.status.is_some()
     }
 
     /// One that can't be written now is dropped: the next says more.
     pub fn write_status(&self, now: Duration, status: &Status, policy: Option<&bramblewharf_policy::Status>) {
         if let Some(writer) = &self.status {
-            let mut shown = shown(now, status, self);
-            shown["policy"] = policy.map_or(Value::Null, of_policy);
-            let _ = writer.try_send(shown.to_string());
+            let mut value = status_json(now, status, self);
+            value["policy"] = policy.map_or(Value::Null, policy_json);
+            let _ = writer.try_send(value.to_string());
         }
     }
 }
 
 /// How a gateway decides by the fleet's policy, by what, and until when.
-type Decides = (&'static str, Vec<bramblewharf_policy::Digest>, Option<Duration>);
+type PolicyFact = (&'static str, Vec<bramblewharf_policy::Digest>, Option<Duration>);
 
-fn of_policy(status: &bramblewharf_policy::Status) -> Value {
+fn policy_json(status: &bramblewharf_policy::Status) -> Value {
     let keeps = status.coordinator.as_ref().map(|stands| {
         json!({"phase": stands.phase.0, "number": stands.number, "now": stands.current.to_string(),
             "next": stands.next.map(|next| next.to_string()),
@@ -128,17 +128,17 @@
 }
 
 /// The thread that writes the status, whole or not at all; it ends with the gateway.
-fn writer(path: PathBuf) -> io::Result<SyncSender<String>> {
+fn start_status_writer(path: PathBuf) -> io::Result<SyncSender<String>> {
     let (sender, receiver) = sync_channel::<String>(1);
     std::thread::Builder::new().name("status".into()).spawn(move || {
         while let Ok(text) = receiver.recv() {
-            let _ = replace(&path, &text);
+            let _ = replace_file(&path, &text);
         }
     })?;
     Ok(sender)
 }
 
-fn replace(path: &Path, text: &str) -> io::Result<()> {
+fn replace_file(path: &Path, text: &str) -> io::Result<()> {
     let folder = path.parent().unwrap_or(Path::new("."));
     let mut file = tempfile::NamedTempFile::new_in(folder)?;
     file.write_all(text.as_bytes())?;
@@ -148,21 +148,21 @@
 
 /// What the gateway had leave for, a line whenever that changes, written before anything is done by it. The time is that of the
 /// machine's monotonic clock, one for all its processes, so that the lines of many can be merged.
-struct Facts {
+struct FactsLog {
     file: File,
     last: Vec<(u64, u64, u64, Duration)>,
-    kept: bool,
-    decides: Option<Decides>,
+    was_leader: bool,
+    decides: Option<PolicyFact>,
 }
 
-impl Facts {
-    fn open(path: &Path) -> io::Result<Facts> {
+impl FactsLog {
+    fn open(path: &Path) -> io::Result<FactsLog> {
         let file = OpenOptions::new().create(true).append(true).open(path)?;
-        Ok(Facts { file, last: Vec::new(), kept: false, decides: None })
+        Ok(FactsLog { file, last: Vec::new(), was_leader: false, decides: None })
     }
 
-    fn note(&mut self, now: Duration, node: &mut Node, policy: Option<&Decides>) {
-        let at = machine_time();
+    fn note(&mut self, now: Duration, node: &mut Node, policy: Option<&PolicyFact>) {
+        let at = boottime_now();
         let figures = node.figures(now);
         let mut text = String::new();
         let rows: Vec<_> = figures
@@ -183,8 +183,8 @@
         }
         self.last = rows;
         let keeps = node.is_leader(now);
-        if keeps != self.kept {
-            self.kept = keeps;
+        if keeps != self.was_leader {
+            self.was_leader = keeps;
             text += &format!(
                 "{}\n",
                 json!({"at_us": at.as_micros() as u64, "place": node.member_id(), "keeps": keeps})
@@ -206,12 +206,12 @@
 }
 
 /// The machine's clock that counts on while it sleeps.
-pub fn machine_time() -> Duration {
+pub fn boottime_now() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-fn shown(now: Duration, status: &Status, link: &Link) -> Value {
+fn status_json(now: Duration, status: &Status, link: &Link) -> Value {
     let budgets: Vec<Value> = status
         .budgets
         .iter()
@@ -254,6 +254,6 @@
         "asks_seat": status.requests_to, "has_leave": status.has_grant, "members": status.members,
         "asked": status.grant_holder.requests, "given": status.grant_holder.granted, "unanswered": status.grant_holder.timeouts,
         "late": status.grant_holder.late_replies, "differs": status.grant_holder.table_mismatches,
-        "passed_over": status.ignored + link.passed_over.get(), "held_back": link.held_back.get(),
+        "passed_over": status.ignored + link.ignored.get(), "held_back": link.rate_limited.get(),
         "budgets": budgets, "seat": seat, "keeper": keeper})
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -28,6 +28,6 @@
 mod upload;
 mod view;
 
-pub use fleet::{machine_time, MOST_A_SECOND};
-pub use peers::LONGEST as LONGEST_OF_PEERS;
+pub use fleet::{boottime_now, MAX_BYTES_PER_SECOND};
+pub use peers::LONGEST as MAX_PEER_DATAGRAM_BYTES;
 pub use runtime::{Gateway, Ports, Ticks};
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -17,15 +17,15 @@
 use std::time::Duration;
 
 /// What every statement may have, in bytes: a text up to this goes the ordinary path.
-pub const ORDINARY: u64 = 64 * 1024;
+pub const ORDINARY_BODY_BYTES: u64 = 64 * 1024;
 /// The largest text that can be allowed, the most files and the most threads for them.
-const LARGEST: u64 = 4 << 30;
-const MOST_FILES: usize = 100_000;
-const MOST_THREADS: usize = 64;
+const MAX_BODY_BYTES: u64 = 4 << 30;
+const MAX_FILES: usize = 100_000;
+const MAX_THREADS: usize = 64;
 
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operators {
+pub struct OperatorSettings {
     pub bodies: Bodies,
     pub fleet: Option<Fleet>,
     /// Budgets of the whole fleet, by name.
@@ -85,8 +85,8 @@
     /// Only executions after a statement's first.
     #[serde(default)]
     pub further: bool,
-    pub at_once: Option<Counted>,
-    pub per_second: Option<Counted>,
+    pub at_once: Option<BudgetUnit>,
+    pub per_second: Option<BudgetUnit>,
     pub whole: f64,
     /// Percent of the whole that is divided evenly for ever.
     #[serde(default = "default_floor")]
@@ -98,7 +98,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Counted {
+pub enum BudgetUnit {
     Statements,
     Weight,
     Memory,
@@ -130,9 +130,9 @@
 
 /// What a gateway in a fleet is started with.
 #[derive(Clone)]
-pub struct FleetTerms {
+pub struct FleetParameters {
     pub start: node::Start,
-    pub policy: Option<PolicyTerms>,
+    pub policy: Option<PolicyParameters>,
     pub key: Key,
     pub listen: SocketAddr,
     pub seats: Vec<SocketAddr>,
@@ -143,7 +143,7 @@
 
 /// What the fleet's policy begins with here.
 #[derive(Clone)]
-pub struct PolicyTerms {
+pub struct PolicyParameters {
     pub start: bramblewharf_policy::Start,
     pub names: std::sync::Arc<Names>,
     pub file: Option<PathBuf>,
@@ -152,26 +152,26 @@
 }
 
 /// What names in budgets stand for, and what else the configuration says.
-pub struct Known<'a> {
+pub struct PlatformContext<'a> {
     pub workloads: &'a [String],
     pub customers: &'a [String],
     pub kinds: &'a [String],
     /// The same for the fleet's policy, with what the platform binds.
     pub names: Names,
-    pub number: u32,
+    pub gateway_number: u32,
     /// The longest that a statement may take.
-    pub longest: Duration,
+    pub max_statement_time: Duration,
     pub seed: u64,
 }
 
-impl Operators {
+impl OperatorSettings {
     /// The fleet's terms, where there is one. Messages begin with the key.
-    pub fn fleet_terms(&self, known: &Known) -> Result<Option<FleetTerms>, String> {
+    pub fn fleet_parameters(&self, known: &PlatformContext) -> Result<Option<FleetParameters>, String> {
         let Some(fleet) = &self.fleet else { return Ok(None) };
         let shown = fleet.key_file.display();
         let key = std::fs::read(&fleet.key_file).map_err(|e| format!("fleet.key_file: {shown}: {e}"))?;
         let key = Key::derive(&key).ok_or_else(|| format!("fleet.key_file: {shown}: is under 16 bytes"))?;
-        let place = fleet.place.unwrap_or(known.number);
+        let place = fleet.place.unwrap_or(known.gateway_number);
         if place >= fleet.places {
             return Err(format!("fleet.place: {place} is none of the {} of fleet.places", fleet.places));
         }
@@ -204,12 +204,12 @@
             voters: fleet.seats.len() as u8,
             lease: fleet.lease,
             drift_percent: fleet.drift_percent,
-            max_execution_time: known.longest + fleet.engines_keep,
+            max_execution_time: known.max_statement_time + fleet.engines_keep,
             orphan_retention: fleet.engines_keep,
             injected_bug: None,
         };
-        let incarnation = new_number();
-        let policy = fleet.policy_terms(known, &config, place, incarnation)?;
+        let incarnation = random_u64();
+        let policy = fleet.policy_parameters(known, &config, place, incarnation)?;
         let start = node::Start {
             member_id: place,
             voter: fleet.seat,
@@ -218,9 +218,9 @@
             config,
             budgets: all,
             table_digest: digest(&alike),
-            seed: known.seed ^ new_number(),
+            seed: known.seed ^ random_u64(),
         };
-        Ok(Some(FleetTerms {
+        Ok(Some(FleetParameters {
             start,
             policy,
             key,
@@ -235,22 +235,22 @@
 
 impl Fleet {
     /// The policy's part, where there is one: its own text must be well before anything is begun.
-    fn policy_terms(
+    fn policy_parameters(
         &self,
-        known: &Known,
+        known: &PlatformContext,
         config: &FleetConfig,
         place: u32,
         incarnation: u64,
-    ) -> Result<Option<PolicyTerms>, String> {
+    ) -> Result<Option<PolicyParameters>, String> {
         let Some(path) = &self.policy else { return Ok(None) };
-        let initial = policy::first(path)?;
+        let initial = policy::initial_revision(path)?;
         policy::read(&initial.text, Some(&known.names)).map_err(|e| format!("{}:{e}", path.display()))?;
-        let (stored, fault) = self.policy_file.as_deref().map(policy::kept).unwrap_or_default();
+        let (stored, fault) = self.policy_file.as_deref().map(policy::load_stored).unwrap_or_default();
         let start = bramblewharf_policy::Start {
             member_id: place,
             voter: self.seat,
             terms: bramblewharf_policy::Terms { fleet: config.clone(), injected_bug: None },
-            check: policy::check(known.names.clone()),
+            check: policy::revision_check(known.names.clone()),
             initial,
             stored,
             incarnation,
@@ -258,11 +258,11 @@
             fallback_to_initial: self.policy_alone,
         };
         let names = std::sync::Arc::new(known.names.clone());
-        Ok(Some(PolicyTerms { start, names, file: self.policy_file.clone(), fault }))
+        Ok(Some(PolicyParameters { start, names, file: self.policy_file.clone(), fault }))
     }
 }
 
-fn new_number() -> u64 {
+fn random_u64() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::hash::RandomState::new().build_hasher().finish()
 }
@@ -270,10 +270,10 @@
 impl Budget {
     fn read(&self, name: String, scope: Scope) -> budgets::Budget {
         let (measure, quantum) = match (self.at_once, self.per_second) {
-            (Some(Counted::Weight), _) => (Measure::WeightAtOnce, UNIT),
-            (Some(Counted::Memory), _) => (Measure::MemoryAtOnce, 16 * UNIT),
-            (Some(Counted::Statements), _) | (None, None) => (Measure::StatementsAtOnce, UNIT),
-            (None, Some(Counted::Weight)) => (Measure::WeightPerSecond, UNIT),
+            (Some(BudgetUnit::Weight), _) => (Measure::WeightAtOnce, UNIT),
+            (Some(BudgetUnit::Memory), _) => (Measure::MemoryAtOnce, 16 * UNIT),
+            (Some(BudgetUnit::Statements), _) | (None, None) => (Measure::StatementsAtOnce, UNIT),
+            (None, Some(BudgetUnit::Weight)) => (Measure::WeightPerSecond, UNIT),
             (None, Some(_)) => (Measure::StatementsPerSecond, UNIT),
         };
         let (whole, floor_percent, burst) = (milliunits(self.whole), self.floor_percent, self.burst);
@@ -289,16 +289,16 @@
     pub largest: ByteSize,
     /// Beyond the time that ordinary texts have, one may come as slowly as so many bytes a second.
     pub slowest: ByteSize,
-    pub not_kept: NotKept,
+    pub not_kept: NotKeptAction,
     pub memory: Memory,
     pub files: Option<Files>,
-    pub workload: BTreeMap<String, OfWorkload>,
+    pub workload: BTreeMap<String, WorkloadBodies>,
 }
 
 /// What becomes of a text for which no tier that keeps it has room.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum NotKept {
+pub enum NotKeptAction {
     /// It goes through to one engine as it comes, once.
     #[default]
     Stream,
@@ -334,8 +334,8 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct OfWorkload {
-    pub not_kept: NotKept,
+pub struct WorkloadBodies {
+    pub not_kept: NotKeptAction,
 }
 
 fn default_count() -> usize {
@@ -349,9 +349,9 @@
 impl Default for Bodies {
     fn default() -> Bodies {
         Bodies {
-            largest: ByteSize(ORDINARY),
+            largest: ByteSize(ORDINARY_BODY_BYTES),
             slowest: ByteSize::kib(64),
-            not_kept: NotKept::Stream,
+            not_kept: NotKeptAction::Stream,
             memory: Memory::default(),
             files: None,
             workload: BTreeMap::new(),
@@ -367,14 +367,14 @@
 
 impl Bodies {
     /// Whether any text beyond the ordinary ones is taken.
-    pub fn is_on(&self) -> bool {
-        self.largest.as_u64() > ORDINARY
+    pub fn is_enabled(&self) -> bool {
+        self.largest.as_u64() > ORDINARY_BODY_BYTES
     }
 
     /// Memory (bytes) and descriptors that are set apart.
-    pub fn takes(&self) -> (u64, usize) {
+    pub fn reserved_resources(&self) -> (u64, usize) {
         let files = self.files.as_ref();
-        match self.is_on() {
+        match self.is_enabled() {
             // A file being read or written has a descriptor; the lock has one.
             true => (self.memory.pool.as_u64(), files.map_or(0, |files| files.count + files.threads + 2)),
             false => (0, 0),
@@ -396,39 +396,39 @@
     }
 
     /// Differs in nothing that waits for a restart.
-    pub fn is_alike(&self, newer: &Bodies) -> bool {
+    pub fn is_unchanged_until_restart(&self, newer: &Bodies) -> bool {
         let fixed = |bodies: &Bodies| {
-            let files = bodies.files.as_ref().filter(|_| bodies.is_on());
+            let files = bodies.files.as_ref().filter(|_| bodies.is_enabled());
             let files = files.map(|f| (f.dir.clone(), f.threads, f.zstd));
-            (files, bodies.takes(), bodies.slowest, bodies.not_kept, bodies.workload.clone())
+            (files, bodies.reserved_resources(), bodies.slowest, bodies.not_kept, bodies.workload.clone())
         };
         fixed(self) == fixed(newer)
     }
 
     /// Of a workload: its texts are kept, or not taken.
-    pub fn is_strict(&self, workload: &str) -> bool {
-        self.workload.get(workload).map_or(self.not_kept, |own| own.not_kept) == NotKept::Reject
+    pub fn rejects_not_kept(&self, workload: &str) -> bool {
+        self.workload.get(workload).map_or(self.not_kept, |own| own.not_kept) == NotKeptAction::Reject
     }
 }
 
 /// Reads the file; without one, all is as if nothing were said.
-pub fn load(path: Option<&Path>, workloads: &[String]) -> Result<Operators, String> {
-    let Some(path) = path else { return Ok(Operators::default()) };
+pub fn load(path: Option<&Path>, workloads: &[String]) -> Result<OperatorSettings, String> {
+    let Some(path) = path else { return Ok(OperatorSettings::default()) };
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: cannot be read: {e}"))?;
     read(&text, Some(workloads)).map_err(|e| format!("{shown}:{e}"))
 }
 
 /// Without a configuration nothing is known of workloads.
-pub fn check_alone(path: &Path) -> Result<(), String> {
+pub fn check_file(path: &Path) -> Result<(), String> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: cannot be read: {e}"))?;
     read(&text, None).map(drop).map_err(|e| format!("{shown}:{e}"))
 }
 
 /// Messages are `LINE: KEY: RULE`.
-pub fn read(text: &str, workloads: Option<&[String]>) -> Result<Operators, String> {
-    let (operators, line): (Operators, _) = parse(text)?;
+pub fn read(text: &str, workloads: Option<&[String]>) -> Result<OperatorSettings, String> {
+    let (operators, line): (OperatorSettings, _) = parse(text)?;
     check(&operators, workloads).map_err(|(key, why)| format!("{}: {key}: {why}", line(&key)))?;
     Ok(operators)
 }
@@ -450,23 +450,23 @@
             Some(key) if !path.ends_with(key) => format!("{path}.{key}"),
             _ => path,
         };
-        format!("{}: {key}: {why}", line_of(&parsed, text, &key))
+        format!("{}: {key}: {why}", line_of_key(&parsed, text, &key))
     })?;
-    Ok((read, move |key: &str| line_of(&parsed, text, key)))
+    Ok((read, move |key: &str| line_of_key(&parsed, text, key)))
 }
 
-type Broken = (String, String);
+type RuleViolation = (String, String);
 
 /// What must hold between what is said. What the folder is like is looked at where files are first made.
-fn check(operators: &Operators, workloads: Option<&[String]>) -> Result<(), Broken> {
+fn check(operators: &OperatorSettings, workloads: Option<&[String]>) -> Result<(), RuleViolation> {
     let bodies = &operators.bodies;
     let must = |holds: bool, key: &str, why: &str| match holds {
         true => Ok(()),
         false => Err((format!("bodies.{key}"), why.to_string())),
     };
     let (largest, memory) = (bodies.largest.as_u64(), &bodies.memory);
-    must(largest >= ORDINARY, "largest", "is under the 64 KiB that every statement may have")?;
-    must(largest <= LARGEST, "largest", "is over 4 GiB")?;
+    must(largest >= ORDINARY_BODY_BYTES, "largest", "is under the 64 KiB that every statement may have")?;
+    must(largest <= MAX_BODY_BYTES, "largest", "is over 4 GiB")?;
     must(
         bodies.slowest.as_u64() >= 1024,
         "slowest",
@@ -481,9 +481,13 @@
     )?;
     if let Some(files) = &bodies.files {
         must(files.each <= files.pool, "files.each", "is more than bodies.files.pool")?;
-        must(files.each.as_u64() >= ORDINARY, "files.each", "is under 64 KiB: no text would go there")?;
-        must((1..=MOST_FILES).contains(&files.count), "files.count", "is not a number from 1 to 100000")?;
-        must((1..=MOST_THREADS).contains(&files.threads), "files.threads", "is not a number from 1 to 64")?;
+        must(
+            files.each.as_u64() >= ORDINARY_BODY_BYTES,
+            "files.each",
+            "is under 64 KiB: no text would go there",
+        )?;
+        must((1..=MAX_FILES).contains(&files.count), "files.count", "is not a number from 1 to 100000")?;
+        must((1..=MAX_THREADS).contains(&files.threads), "files.threads", "is not a number from 1 to 64")?;
         must(files.dir.is_absolute(), "files.dir", "is not an absolute path")?;
         let fits = !files.in_memory || files.pool <= memory.pool;
         must(fits, "files.pool", "is more than bodies.memory.pool, and these files are in memory")?;
@@ -497,21 +501,21 @@
 }
 
 /// The most budgets that one datagram has room for, and the most places and seats.
-const MOST_BUDGETS: usize = 16;
-const MOST_PLACES: u32 = 10_000;
-const MOST_SEATS: usize = 7;
+const MAX_BUDGETS: usize = 16;
+const MAX_MEMBERS: u32 = 10_000;
+const MAX_VOTERS: usize = 7;
 
-fn check_fleet(operators: &Operators) -> Result<(), Broken> {
+fn check_fleet(operators: &OperatorSettings) -> Result<(), RuleViolation> {
     let must = |holds: bool, key: String, why: &str| if holds { Ok(()) } else { Err((key, why.to_string())) };
     let Some(fleet) = &operators.fleet else {
         let name = operators.budget.keys().next();
         return name.map_or(Ok(()), |name| must(false, format!("budget.{name}"), "needs a fleet block"));
     };
     let of = |key: &str| format!("fleet.{key}");
-    must((1..=MOST_PLACES).contains(&fleet.places), of("places"), "is not a number from 1 to 10000")?;
+    must((1..=MAX_MEMBERS).contains(&fleet.places), of("places"), "is not a number from 1 to 10000")?;
     must(fleet.place.is_none_or(|place| place < fleet.places), of("place"), "is none of fleet.places")?;
     let seats = fleet.seats.len();
-    must(seats % 2 == 1 && seats <= MOST_SEATS, of("seats"), "are not 1, 3, 5 or 7 addresses")?;
+    must(seats % 2 == 1 && seats <= MAX_VOTERS, of("seats"), "are not 1, 3, 5 or 7 addresses")?;
     let apart = fleet.seats.iter().enumerate().all(|(at, seat)| !fleet.seats[..at].contains(seat));
     must(apart, of("seats"), "names an address twice")?;
     must(fleet.seat.is_none_or(|seat| usize::from(seat) < seats), of("seat"), "is none of fleet.seats")?;
@@ -526,12 +530,12 @@
         "budget.engines".into(),
         "is a name of fleet.engines_by_members",
     )?;
-    must(operators.budget.len() < MOST_BUDGETS, "budget".into(), "is there more than 15 times")?;
+    must(operators.budget.len() < MAX_BUDGETS, "budget".into(), "is there more than 15 times")?;
     for (name, budget) in &operators.budget {
         let of = |key: &str| format!("budget.{name}.{key}");
         let one = budget.at_once.is_some() != budget.per_second.is_some();
         must(one, of("at_once"), "and per_second: exactly one of them says what is counted")?;
-        let held = budget.per_second != Some(Counted::Memory);
+        let held = budget.per_second != Some(BudgetUnit::Memory);
         must(held, of("per_second"), "memory is held, not spent: it is counted at_once")?;
         let whole = budget.whole.is_finite() && (0.0..=1e9).contains(&budget.whole);
         must(whole, of("whole"), "is not a number from 0 to 1000000000")?;
@@ -543,7 +547,7 @@
 }
 
 /// The line on which a key stands, or what it would stand in; 1 where neither is there.
-fn line_of(body: &Body, text: &str, key: &str) -> usize {
+fn line_of_key(body: &Body, text: &str, key: &str) -> usize {
     let mut found = 0;
     let mut bodies = vec![body];
     let mut words = key.split('.').peekable();
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -2,7 +2,7 @@
 //! it, and the file that has to last. Adapters, which decide nothing.
 
 use crate::operators::parse;
-use bramblewharf::interface::{Effect as Repeats, Site};
+use bramblewharf::interface::{Effect as SiteEffect, Site};
 use bramblewharf_budgets::{AdmissionCheck, Demand};
 use bramblewharf_policy::{Check, ExecutionRequest, Limits, Permit, Revision, Rules, StoredState};
 use serde::Deserialize;
@@ -15,33 +15,33 @@
 use tokio::sync::mpsc::{channel, Receiver};
 
 /// Writes that wait for the disk: one beyond that counts as failed, and is tried anew by whoever needs it.
-const WAITING: usize = 16;
+const WRITE_QUEUE_LENGTH: usize = 16;
 
 /// The text of a revision: what is the fleet's, and nothing of one gateway's own.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Text {
-    workload: BTreeMap<String, OneOf>,
-    customer: BTreeMap<String, OneOf>,
-    alone: Option<Alone>,
+struct PolicyText {
+    workload: BTreeMap<String, LimitsText>,
+    customer: BTreeMap<String, LimitsText>,
+    alone: Option<FallbackText>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct Alone {
-    workload: BTreeMap<String, OneOf>,
+struct FallbackText {
+    workload: BTreeMap<String, LimitsText>,
 }
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct OneOf {
+struct LimitsText {
     forbidden: bool,
     executions: Option<u32>,
     kinds: Option<BTreeSet<String>>,
 }
 
-impl From<OneOf> for Limits {
-    fn from(of: OneOf) -> Limits {
+impl From<LimitsText> for Limits {
+    fn from(of: LimitsText) -> Limits {
         Limits { forbidden: of.forbidden, executions: of.executions, kinds: of.kinds }
     }
 }
@@ -61,7 +61,7 @@
         let terms = site.workloads.iter().map(|config| {
             let kinds =
                 config.kinds.as_ref().map(|kinds| kinds.iter().map(|kind| kind.to_string()).collect());
-            (config.effect == Repeats::NonIdempotent, kinds)
+            (config.effect == SiteEffect::NonIdempotent, kinds)
         });
         Names {
             workloads: workloads.to_vec(),
@@ -74,7 +74,7 @@
 
 /// Reads a text; without names, only its form. Messages are `LINE: KEY: RULE`.
 pub fn read(text: &str, names: Option<&Names>) -> Result<Rules, String> {
-    let (read, line): (Text, _) = parse(text)?;
+    let (read, line): (PolicyText, _) = parse(text)?;
     let wrong = |key: String, why: &str| Err(format!("{}: {key}: {why}", line(&key)));
     if let Some(names) = names {
         let alone = read.alone.iter().flat_map(|alone| &alone.workload);
@@ -108,7 +108,8 @@
             }
         }
     }
-    let table = |of: BTreeMap<String, OneOf>| of.into_iter().map(|(name, of)| (name, of.into())).collect();
+    let table =
+        |of: BTreeMap<String, LimitsText>| of.into_iter().map(|(name, of)| (name, of.into())).collect();
     Ok(Rules {
         workloads: table(read.workload),
         customers: table(read.customer),
@@ -117,12 +118,12 @@
 }
 
 /// As the fleet's part asks for it.
-pub fn check(names: Names) -> Check {
+pub fn revision_check(names: Names) -> Check {
     Arc::new(move |revision: &Revision| read(&revision.text, Some(&names)))
 }
 
 /// A fleet's first revision, of a gateway's own file: the same for all that have the same text.
-pub fn first(path: &Path) -> Result<Revision, String> {
+pub fn initial_revision(path: &Path) -> Result<Revision, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("fleet.policy: {}: {e}", path.display()))?;
     let (author, reason) = ("file".to_string(), "the first one".to_string());
     let revision = Revision { number: 1, parent: Default::default(), author, reason, text };
@@ -133,12 +134,12 @@
 }
 
 /// What was kept, and what is wrong with it, if anything: then it is as if there were no file, which a seat says of itself.
-pub fn kept(path: &Path) -> (Option<(u64, StoredState)>, Option<String>) {
+pub fn load_stored(path: &Path) -> (Option<(u64, StoredState)>, Option<String>) {
     match std::fs::read(path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => (None, None),
         Err(e) => (None, Some(e.to_string())),
         Ok(bytes) => match StoredState::read(&bytes) {
-            Ok(kept) => (Some(kept), None),
+            Ok(load_stored) => (Some(load_stored), None),
             Err(fault) => (None, Some(fault.to_string())),
         },
     }
@@ -146,12 +147,12 @@
 
 /// What the policy permits, as the decisions ask: workloads and customers by their numbers.
 #[derive(Debug)]
-pub struct Permitted {
+pub struct PolicyAdmissionCheck {
     pub permit: Permit,
     pub names: Arc<Names>,
 }
 
-impl AdmissionCheck for Permitted {
+impl AdmissionCheck for PolicyAdmissionCheck {
     fn permits(&self, now: Duration, demand: &Demand) -> bool {
         let names = &*self.names;
         let workload = names.workloads.get(demand.workload).map_or("", String::as_str);
@@ -167,16 +168,16 @@
 }
 
 /// The thread that writes the file, whole or not at all; it ends with the gateway.
-pub struct Disk {
+pub struct PolicyFileWriter {
     jobs: Option<SyncSender<(u64, Vec<u8>)>>,
 }
 
-impl Disk {
+impl PolicyFileWriter {
     /// Without a path nothing lasts, and every write is said to be well at once: such a seat starts as one that knows nothing.
-    pub fn start(path: Option<PathBuf>) -> io::Result<(Disk, Receiver<(u64, bool)>)> {
-        let (done, ended) = channel(WAITING * 2);
-        let Some(path) = path else { return Ok((Disk { jobs: None }, ended)) };
-        let (jobs, work) = sync_channel::<(u64, Vec<u8>)>(WAITING);
+    pub fn start(path: Option<PathBuf>) -> io::Result<(PolicyFileWriter, Receiver<(u64, bool)>)> {
+        let (done, ended) = channel(WRITE_QUEUE_LENGTH * 2);
+        let Some(path) = path else { return Ok((PolicyFileWriter { jobs: None }, ended)) };
+        let (jobs, work) = sync_channel::<(u64, Vec<u8>)>(WRITE_QUEUE_LENGTH);
         std::thread::Builder::new().name("policy".into()).spawn(move || {
             while let Ok((generation, bytes)) = work.recv() {
                 if done.blocking_send((generation, write(&path, &bytes).is_ok())).is_err() {
@@ -184,11 +185,11 @@
                 }
             }
         })?;
-        Ok((Disk { jobs: Some(jobs) }, ended))
+        Ok((PolicyFileWriter { jobs: Some(jobs) }, ended))
     }
 
     /// How it went, where that is known at once.
-    pub fn keep(&self, generation: u64, bytes: Vec<u8>) -> Option<bool> {
+    pub fn write_state(&self, generation: u64, bytes: Vec<u8>) -> Option<bool> {
         match &self.jobs {
             None => Some(true),
             Some(jobs) => jobs.try_send((generation, bytes)).is_err().then_some(false),
--- a/crates/gateway/src/policy_cli.rs
+++ b/crates/gateway/src/policy_cli.rs
@@ -74,8 +74,9 @@
         Policy::Check { file, config } => {
             let text = read(file)?;
             let names = config.as_ref().map(|config| config::load(Some(config.clone()), None)).transpose()?;
-            let names = names
-                .map(|start| policy::Names::new(&start.site, &start.words.workloads, &start.words.customers));
+            let names = names.map(|start| {
+                policy::Names::new(&start.site, &start.site_names.workloads, &start.site_names.customers)
+            });
             policy::read(&text, names.as_ref()).map_err(|e| format!("{}:{e}", file.display()))?;
             println!("{}: well", file.display());
             Ok(ExitCode::SUCCESS)
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -3,7 +3,7 @@
 use super::io::{Cancel, Effect};
 use super::Reducer;
 use crate::hearing::Hearing;
-use crate::policy::{Names, Permitted};
+use crate::policy::{Names, PolicyAdmissionCheck};
 use crate::unsettled::Unsettled;
 use bramblewharf::interface::{Event, Id};
 use bramblewharf_budgets::{AdmissionCheck, Demand};
@@ -163,7 +163,7 @@
             // Before whatever else there is news of: nothing is decided by what was left before.
             let permitted = self.policy.as_ref().map(|policy| {
                 let (permit, names) = (policy.permit.clone(), policy.names.clone());
-                Arc::new(Permitted { permit, names }) as Arc<dyn AdmissionCheck>
+                Arc::new(PolicyAdmissionCheck { permit, names }) as Arc<dyn AdmissionCheck>
             });
             self.news.push_front(Event::BudgetHeadroom(node.headroom(now).with_check(permitted)));
             self.room_due = node.headroom_due(now);
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,9 +1,9 @@
 //! Carries out what the reducer asks for, on one thread: the gateway as it is started, serves and shuts down.
 
-use crate::config::{self, AtStart, Bounds, Start};
+use crate::config::{self, Bounds, RestartOnlySettings, Start};
 use crate::connection::Connections;
 use crate::engines::{Engines, Heard, Job, May};
-use crate::fleet::{machine_time, Link};
+use crate::fleet::{boottime_now, Link};
 use crate::front::Front;
 use crate::invariants::Invariant;
 use crate::names::{Asker, Known, Word};
@@ -137,7 +137,7 @@
     engines: Engines,
     peers: Option<Peers>,
     fleet: Option<Link>,
-    policy: Option<policy::Disk>,
+    policy: Option<policy::PolicyFileWriter>,
     /// Where what is out at engines is kept.
     record: Option<RecordFile>,
     names_passed_over: Rc<Cell<u64>>,
@@ -196,8 +196,8 @@
         if let Some(link) = &self.fleet {
             // Before anything is done by what it has now.
             let (now, mut reducer) = (self.clock.now(), self.reducer.borrow_mut());
-            let fact = reducer.policy().filter(|_| link.wants_facts()).map(|policy| policy.fact(now));
-            reducer.fleet().into_iter().for_each(|node| link.note(now, node, fact.as_ref()));
+            let fact = reducer.policy().filter(|_| link.has_facts_file()).map(|policy| policy.fact(now));
+            reducer.fleet().into_iter().for_each(|node| link.record_facts(now, node, fact.as_ref()));
         }
         effects.into_iter().for_each(|effect| self.carry_out(effect));
         self.faults.get() == faults
@@ -315,7 +315,8 @@
                 });
             }
             Effect::Keep { generation, bytes } => {
-                let known = self.policy.as_ref().map_or(Some(true), |disk| disk.keep(generation, bytes));
+                let known =
+                    self.policy.as_ref().map_or(Some(true), |disk| disk.write_state(generation, bytes));
                 if let Some(well) = known {
                     // Not within what asked for it: its own effects come first.
                     let core = self.clone();
@@ -324,7 +325,7 @@
             }
             Effect::Say { to, envelope } => {
                 if let Some(link) = &self.fleet {
-                    link.say(&to, &envelope);
+                    link.send(&to, &envelope);
                 }
             }
             Effect::Tell { to, message } => {
@@ -357,13 +358,13 @@
 
     async fn hear_fleet(self: Rc<Self>) {
         while let Some(link) = &self.fleet {
-            let (envelope, from) = link.hear().await;
+            let (envelope, from) = link.receive().await;
             self.input(Input::Fleet(envelope, from));
         }
     }
 
     fn write_status(&self) {
-        let Some(link) = self.fleet.as_ref().filter(|link| link.wants_status()) else { return };
+        let Some(link) = self.fleet.as_ref().filter(|link| link.has_status_file()) else { return };
         let now = self.clock.now();
         let mut reducer = self.reducer.borrow_mut();
         let policy = reducer.policy().map(|policy| policy.status(now));
@@ -464,7 +465,7 @@
     tasks: Vec<JoinHandle<()>>,
     address: SocketAddr,
     leave_within: Duration,
-    at_start: AtStart,
+    at_start: RestartOnlySettings,
     bodies: Bodies,
     folder: Option<Arc<SpoolDirectory>>,
     fleet: (Option<operators::Fleet>, BTreeMap<String, operators::Budget>),
@@ -505,17 +506,18 @@
                 Some(link.map_err(|e| named("fleet", &terms.listen, e))?)
             }
         };
-        let asker = Asker::start(start.names, start.known.no, start.seed, log.clone())?;
-        let in_force = RefCell::new((start.names, start.peers.clone()));
-        let ticks = start.fleet.is_some().then(|| ticks.unwrap_or_else(|| Rc::new(machine_time)));
+        let asker = Asker::start(start.name_service, start.cached_engines.no, start.seed, log.clone())?;
+        let in_force = RefCell::new((start.name_service, start.peers.clone()));
+        let ticks = start.fleet.is_some().then(|| ticks.unwrap_or_else(|| Rc::new(boottime_now)));
         let clock = Clock::new(ticks);
         let (one_at_a_time, idle) = (!start.site.concurrent_executions, start.engine_idle);
-        let (bounds, words) = (start.bounds.clone(), start.words.clone());
+        let (bounds, words) = (start.bounds.clone(), start.site_names.clone());
         let engines = Engines::new(bounds, words, start.dial_timeout, idle, one_at_a_time);
         let deduplicated = |w: &WorkloadConfig| matches!(w.effect, Repeat::Deduplicated(_));
         let keyed = start.site.workloads.iter().map(deduplicated).collect();
         let (bodies, folder) = keeper(&start.operators.bodies, disk, &log)?;
-        let strict = start.words.workloads.iter().map(|w| start.operators.bodies.is_strict(w)).collect();
+        let strict =
+            start.site_names.workloads.iter().map(|w| start.operators.bodies.rejects_not_kept(w)).collect();
         let (slowest, stay_away) = (start.operators.bodies.slowest.as_u64(), start.site.max_retry_after);
         let of_policy = start.fleet.as_ref().and_then(|terms| terms.policy.clone());
         let (policy, kept) = match &of_policy {
@@ -523,7 +525,7 @@
                 if let Some(fault) = &terms.fault {
                     slog::error!(log, "what was kept of the policy is not read"; "fault" => fault);
                 }
-                let (disk, kept) = policy::Disk::start(terms.file.clone())?;
+                let (disk, kept) = policy::PolicyFileWriter::start(terms.file.clone())?;
                 (Some(disk), Some(kept))
             }
             None => (None, None),
@@ -564,8 +566,8 @@
             reducer: RefCell::new(reducer),
             clock,
             bounds: start.bounds,
-            names: start.words,
-            longest: start.longest,
+            names: start.site_names,
+            longest: start.deadlines,
             keyed,
             strict,
             slowest,
@@ -593,8 +595,8 @@
             closed: Cell::new(false),
         });
         first.into_iter().for_each(|effect| core.carry_out(effect));
-        core.input(Input::Engines(ListKind::Cached, start.known.list));
-        if start.names.is_some() {
+        core.input(Input::Engines(ListKind::Cached, start.cached_engines.list));
+        if start.name_service.is_some() {
             // What the configuration holds was told with it.
             core.input(Input::ListAsked(Some(core.clock.now())));
         }
@@ -640,7 +642,7 @@
                 }
             }
         }));
-        let (leave_within, at_start) = (start.leave_within, start.at_start);
+        let (leave_within, at_start) = (start.shutdown_timeout, start.restart_only);
         let (bodies, fleet) = (start.operators.bodies, (start.operators.fleet, start.operators.budget));
         Ok(Gateway { core, front, tasks, address, leave_within, at_start, bodies, folder, fleet, in_force })
     }
@@ -652,10 +654,10 @@
         let mut in_force = self.in_force.borrow_mut();
         let (names, peers) = &*in_force;
         let mut turned = self.core.turned.borrow_mut();
-        if start.names != *names {
-            turned.names = Some(start.names);
+        if start.name_service != *names {
+            turned.names = Some(start.name_service);
         }
-        let mut waits = self.at_start.changed(&start.at_start);
+        let mut waits = self.at_start.changed(&start.restart_only);
         // Whether messages are exchanged at all is settled at the start.
         if peers.is_some() != start.peers.is_some() && !waits.contains(&"peer_listen") {
             waits.push("peers");
@@ -663,7 +665,7 @@
         // How much is kept takes effect at once, where and by how many threads with a restart.
         let bodies = &start.operators.bodies;
         self.core.bodies.set_bounds(bodies.bounds());
-        if self.bodies != *bodies && !self.bodies.is_alike(bodies) {
+        if self.bodies != *bodies && !self.bodies.is_unchanged_until_restart(bodies) {
             waits.push("bodies");
         }
         if self.fleet != (start.operators.fleet, start.operators.budget) {
@@ -672,10 +674,10 @@
         if let (Some(ours), Some(peers)) = (&self.core.peers, &start.peers) {
             ours.turn_to(peers.clone());
         }
-        slog::info!(log, "configuration reloaded"; "names" => ?start.names, "known" => start.known.no,
+        slog::info!(log, "configuration reloaded"; "names" => ?start.name_service, "known" => start.cached_engines.no,
             "waits_for_restart" => ?waits);
-        *in_force = (start.names, start.peers);
-        turned.known = Some(start.known);
+        *in_force = (start.name_service, start.peers);
+        turned.known = Some(start.cached_engines);
         self.core.turn.notify_one();
     }
 
@@ -762,7 +764,7 @@
     disk: Option<Arc<dyn Disk>>,
     log: &Logger,
 ) -> io::Result<(Rc<BodyStore>, Option<Arc<SpoolDirectory>>)> {
-    let files = bodies.files.as_ref().filter(|_| bodies.is_on());
+    let files = bodies.files.as_ref().filter(|_| bodies.is_enabled());
     let threads = files.map(|files| -> io::Result<_> {
         if let Some(disk) = disk {
             return Ok((None, IoThreads::start(disk, files.threads, files.zstd)?));
--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -1,10 +1,10 @@
 //! Texts beyond the ordinary size, on loopback: what each tier means for each class, cell by cell, and the hard cases.
 
 mod common;
-use bramblewharf_gateway::operators::{self, Operators};
-use bramblewharf_standins::checker::{check, Asked, Class};
+use bramblewharf_gateway::operators::{self, OperatorSettings};
+use bramblewharf_standins::checker::{check, Class, ClientRecord};
 use bramblewharf_standins::disk::FaultyDisk;
-use bramblewharf_standins::{answer, nobody, Call, Engine, Reply, Take};
+use bramblewharf_standins::{answer, unused_address, BodyRead, Call, Engine, Reply};
 use common::*;
 use serde_json::{json, Value};
 use std::collections::HashMap;
@@ -18,7 +18,12 @@
 const KB: usize = 1024;
 
 /// Texts up to `largest` KB; memory and files as told, in KB.
-fn operators(largest: usize, memory: (usize, usize), files: Option<(usize, usize)>, more: &str) -> Operators {
+fn operators(
+    largest: usize,
+    memory: (usize, usize),
+    files: Option<(usize, usize)>,
+    more: &str,
+) -> OperatorSettings {
     let files = files.map_or(String::new(), |(each, pool)| {
         format!("files {{\n dir = \"/nowhere\"\n each = \"{each} KiB\"\n pool = \"{pool} KiB\"\n }}\n")
     });
@@ -170,10 +175,10 @@
     let (workload, class) = CLASSES[class];
     let ill = {
         let take = move |call: &Call| match goes {
-            _ if call.method != "POST" => Take::All,
-            Goes::ShedBefore => Take::Only(0),
-            Goes::ResetWithin => Take::Only(70_000),
-            _ => Take::All,
+            _ if call.method != "POST" => BodyRead::All,
+            Goes::ShedBefore => BodyRead::Only(0),
+            Goes::ResetWithin => BodyRead::Only(70_000),
+            _ => BodyRead::All,
         };
         let script = move |call: &Call| match (goes, call.method.as_str()) {
             (Goes::ShedBefore | Goes::ShedAfter, "POST") => answer(503, "X-Shed: 1\r\n", b""),
@@ -181,10 +186,10 @@
             (Goes::Silent, "POST" | "GET") => Reply::Silent,
             _ => answer(500, "", b""),
         };
-        Engine::taking(take, script)
+        Engine::start_with_body_read(take, script)
     };
-    let well = Engine::well();
-    let first = if goes == Goes::Refused { nobody() } else { ill.address };
+    let well = Engine::healthy();
+    let first = if goes == Goes::Refused { unused_address() } else { ill.address };
     let disk = FaultyDisk::default();
     let memory = if kept == Kept::Memory { (1024, 4096) } else { (100, 256) };
     let files = matches!(kept, Kept::File | Kept::Growing).then_some((4096, 8192));
@@ -201,7 +206,7 @@
     // The walk begins one past the first engine: that one fails.
     let text = text(600 * KB);
     if goes == Goes::SpoolReadFails {
-        disk.0.wrong_byte.store(300_000, SeqCst);
+        disk.0.corrupted_byte.store(300_000, SeqCst);
     }
     let call = if kept == Kept::Growing { chunked(workload, 1, &text) } else { whole(workload, 1, &text) };
     let call = if goes == Goes::Silent && class == Class::NonIdempotent {
@@ -221,13 +226,15 @@
     let unkept = status != 200 && (kept == Kept::Passing || goes == Goes::SpoolReadFails);
     assert_eq!(is_unkept(&answered), unkept, "{case}");
     // What an engine has of a text that was cut it records when it sees the end of it.
-    ill.wait_posts(engines.saturating_sub(well.posts()));
-    let calls: Vec<Call> = [ill.posted(), well.posted()].concat();
+    ill.wait_for_posts(engines.saturating_sub(well.post_count()));
+    let calls: Vec<Call> = [ill.post_calls(), well.post_calls()].concat();
     assert_eq!(calls.len(), engines, "{case}");
-    let asked = Asked { class, text, sent_whole: true, answers: vec![answered.status], unkept };
+    let asked =
+        ClientRecord { class, text, sent_completely: true, answers: vec![answered.status], not_kept: unkept };
     let asked = HashMap::from([(format!("{:016x}", 1), asked)]);
     let shed = |call: &Call| {
-        matches!(goes, Goes::ShedBefore | Goes::ShedAfter) && ill.posted().iter().any(|c| c.body == call.body)
+        matches!(goes, Goes::ShedBefore | Goes::ShedAfter)
+            && ill.post_calls().iter().any(|c| c.body == call.body)
     };
     let wrong = check(&asked, &calls, shed);
     assert!(wrong.is_empty(), "{case}: {wrong:?}");
@@ -239,7 +246,7 @@
 fn a_client_that_leaves_in_mid_body_starts_nothing_that_ends() {
     for kept in [Kept::Memory, Kept::File, Kept::Passing, Kept::Growing] {
         for (workload, _) in CLASSES {
-            let well = Engine::well();
+            let well = Engine::healthy();
             let memory = if kept == Kept::Memory { (1024, 4096) } else { (100, 256) };
             let files = matches!(kept, Kept::File | Kept::Growing).then_some((4096, 8192));
             let served = Served::with(
@@ -259,7 +266,7 @@
             }
             drop(stream);
             served.wait_bodies("all is let go", |counts| counts.bodies == 0 && counts.in_memory == 0);
-            assert!(well.posted().iter().all(|call| !call.whole), "{kept:?}");
+            assert!(well.post_calls().iter().all(|call| !call.whole), "{kept:?}");
             // It is no word against the engine.
             assert_eq!(served.ask(&call_small(2)).status, 200);
         }
@@ -274,7 +281,7 @@
 #[test]
 fn the_largest_pass_and_what_has_no_end_does_not() {
     let (well, ill) = (
-        Engine::well(),
+        Engine::healthy(),
         Engine::start(|call| match call.method.as_str() {
             "POST" => Reply::Reset,
             _ => answer(500, "", b""),
@@ -288,7 +295,7 @@
         Served::with(&configuration, operators(20 * KB, (512, 2048), files, ""), Some(Arc::new(disk)));
     let text = text(16 * KB * KB);
     assert_eq!(send(&served, whole("load", 1, &text)).join().unwrap().status, 200);
-    assert!(well.posted()[0].body == text && ill.posted()[0].body == text);
+    assert!(well.post_calls()[0].body == text && ill.post_calls()[0].body == text);
     // Announced beyond all bounds: refused before any of it is read, also where the client asks first.
     for fields in ["Content-Length: 3000000000\r\n", "Content-Length: 3000000000\r\nExpect: 100-continue\r\n"]
     {
@@ -319,7 +326,7 @@
 
 #[test]
 fn who_asks_first_is_told_to_go_on_once_there_is_room() {
-    let well = Engine::well();
+    let well = Engine::healthy();
     let served = Served::with(
         &configuration(&[well.address]),
         operators(2048, (512, 512), None, "not_kept = \"reject\"\n"),
@@ -346,7 +353,7 @@
         std::io::BufRead::read_line(&mut read, &mut String::new()).unwrap();
     }
     assert_eq!(Answered::last(&mut read).status, 200);
-    assert!(well.posted()[0].body == text);
+    assert!(well.post_calls()[0].body == text);
 }
 
 /// An engine that answers, or takes a byte now and then, or drains, while the text still comes.
@@ -360,23 +367,29 @@
             Served::with(&patient(engines), operators, Some(Arc::new(FaultyDisk::default())))
         };
         // Completed though it read only the beginning: what the engine says stands.
-        let early = Engine::taking(
-            |call| if call.method == "POST" { Take::Only(1000) } else { Take::All },
+        let early = Engine::start_with_body_read(
+            |call| if call.method == "POST" { BodyRead::Only(1000) } else { BodyRead::All },
             |_| answer(200, "Page-Count: 1\r\n", b"early\t1\tx\n"),
         );
         let served = start(&[early.address]);
         let answered = send(&served, whole("once", 1, &text)).join().unwrap();
-        assert_eq!((answered.status, early.posts()), (200, 1), "{kept:?}");
+        assert_eq!((answered.status, early.post_count()), (200, 1), "{kept:?}");
         // One byte a second: it is given up, and where the text is kept another engine has it.
-        let slow = Engine::taking(
-            |call| if call.method == "POST" { Take::Slowly(Duration::from_secs(1)) } else { Take::All },
+        let slow = Engine::start_with_body_read(
+            |call| {
+                if call.method == "POST" {
+                    BodyRead::Slowly(Duration::from_secs(1))
+                } else {
+                    BodyRead::All
+                }
+            },
             |_| answer(500, "", b""),
         );
-        let well = Engine::well();
+        let well = Engine::healthy();
         let served = start(&[well.address, slow.address]);
         let answered = send(&served, whole("read", 1, &text)).join().unwrap();
         let want = if kept == Kept::File { 200 } else { 503 };
-        assert_eq!((answered.status, well.posts()), (want, usize::from(want == 200)), "{kept:?}");
+        assert_eq!((answered.status, well.post_count()), (want, usize::from(want == 200)), "{kept:?}");
     }
 }
 
@@ -412,7 +425,7 @@
 
 #[test]
 fn a_drain_told_while_half_of_a_text_has_come_is_kept() {
-    let (well, drained) = (Engine::well(), Engine::well());
+    let (well, drained) = (Engine::healthy(), Engine::healthy());
     let mut at_first = configuration(&[well.address, drained.address]);
     let operators = operators(2048, (1024, 4096), None, "");
     let served = Served::with(&at_first, operators.clone(), None);
@@ -428,17 +441,17 @@
     served.reloads.send((at_first, operators)).unwrap();
     // Statements that come meanwhile tell when it is in force.
     for id in 100.. {
-        let before = drained.posts();
+        let before = drained.post_count();
         (0..2).for_each(|n| assert_eq!(served.ask(&call_small(id * 2 + n)).status, 200));
-        if drained.posts() == before {
+        if drained.post_count() == before {
             break;
         }
     }
-    let before = drained.posts();
+    let before = drained.post_count();
     stream.write_all(&call[call.len() / 2..]).unwrap();
     assert_eq!(Answered::last(&mut BufReader::new(stream)).status, 200);
-    assert_eq!(drained.posts(), before);
-    assert!(well.posted().iter().any(|post| post.body == text));
+    assert_eq!(drained.post_count(), before);
+    assert!(well.post_calls().iter().any(|post| post.body == text));
 }
 
 /// Whether a gate is open; waits a little for it, as engines do with their news.
@@ -486,25 +499,25 @@
     served.wait_bodies("all are in files", |counts| {
         counts.files == 20 && counts.in_files == 20 * 300 * KB as u64
     });
-    while engine.posts() < 20 {
+    while engine.post_count() < 20 {
         std::thread::yield_now();
     }
-    disk.0.room.store(100_000, SeqCst);
+    disk.0.free_bytes.store(100_000, SeqCst);
     let falls = send(&served, whole("read", 1, &text)).join().unwrap();
     assert_eq!(falls.status, 200);
-    disk.0.room.store(100_000, SeqCst);
+    disk.0.free_bytes.store(100_000, SeqCst);
     let strict = send(&served, whole("once", 2, &text)).join().unwrap();
     assert_eq!(strict.status, 503);
     assert_eq!(strict.headers["x-pushback-ms"], "2000");
     // The disk stands still: what goes to it waits, all else goes on.
-    disk.0.room.store(-1, SeqCst);
-    disk.hold(true);
+    disk.0.free_bytes.store(-1, SeqCst);
+    disk.block_writes(true);
     let stuck = send(&served, whole("read", 3, &text));
     served.wait_bodies("it waits for the disk", |counts| counts.files == 21);
     for id in 10..60 {
         assert_eq!(served.ask(&call_small(id)).status, 200);
     }
-    disk.hold(false);
+    disk.block_writes(false);
     assert_eq!(stuck.join().unwrap().status, 200);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
@@ -519,7 +532,7 @@
 /// lookups are served throughout.
 #[test]
 fn a_storm_of_loads_stays_within_bounds() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = patient(&[engine.address]);
     configuration["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 600});
     configuration["settings"]["domain"]["sizeCores"] = json!([1000]);
@@ -546,7 +559,7 @@
     assert_eq!(count(200) + count(503), 200, "{statuses:?}");
     assert!(count(200) >= 20 && lookups > 0, "{} completed, {lookups} lookups", count(200));
     assert!(most.0 <= 4096 * KB as u64 && most.1 <= 30 * (KB * KB) as u64 && most.2 <= 64, "{most:?}");
-    for post in engine.posted().iter().filter(|post| post.headers["x-queue"] == "load") {
+    for post in engine.post_calls().iter().filter(|post| post.headers["x-queue"] == "load") {
         let id = u64::from_str_radix(&post.headers["x-ticket"], 16).unwrap();
         assert!(!post.whole || post.body == text_of(id - 5000, KB * KB));
     }
@@ -570,7 +583,7 @@
     let asked: Vec<_> =
         (0..3).map(|n| send(&served, whole("load", n as u64, &text_of(n as u64, sizes[n])))).collect();
     served.wait_bodies("one in each tier", |c| (c.taken_memory, c.taken_file, c.taken_not_kept) == (1, 1, 1));
-    while engine.posts() < 3 {
+    while engine.post_count() < 3 {
         std::thread::yield_now();
     }
     let smaller = operators(128, (64, 128), Some((64, 64)), "");
@@ -603,7 +616,7 @@
     let served = Served::with(&configuration, operators(2048, (1024, 4096), None, ""), None);
     let text = text(400 * KB);
     let held = send(&served, whole("once", 1, &text));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     let call = whole("once", 2, &text);
     let mut stream = served.connect();
     stream.write_all(&call[..100 * KB]).unwrap();
@@ -618,7 +631,7 @@
 /// Of a text that passes, the tables are taken from its beginning, and none rather than wrong ones.
 #[test]
 fn not_plainly_text_is_refused_wherever_that_shows() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     for files in [Some((4096, 8192)), None] {
         let operators = operators(2048, (100, 512), files, "");
         let served =
@@ -633,19 +646,19 @@
         assert_eq!(send(&served, whole("once", 7, &blank)).join().unwrap().status, 400);
         served.wait_bodies("all is let go", |counts| counts.bodies == 0);
     }
-    assert!(engine.posted().iter().all(|post| !post.whole));
+    assert!(engine.post_calls().iter().all(|post| !post.whole));
 }
 
 #[test]
 fn the_operators_file_is_read_and_what_is_wrong_is_named() {
     let known = ["load".to_string()];
     let read = |text: &str| operators::read(text, Some(&known));
-    assert_eq!(read("").unwrap(), Operators::default());
-    assert!(!read("bodies {\n}\n").unwrap().bodies.is_on());
+    assert_eq!(read("").unwrap(), OperatorSettings::default());
+    assert!(!read("bodies {\n}\n").unwrap().bodies.is_enabled());
     let file = "bodies {\n  largest = \"16 MiB\"\n  files {\n    dir = \"/tmp\"\n    each = \"16 MiB\"\n    pool = \"1 GiB\"\n  }\n  \
                 workload \"load\" {\n    not_kept = \"reject\"\n  }\n}\n";
     let bodies = read(file).unwrap().bodies;
-    assert!(bodies.is_on() && bodies.is_strict("load") && !bodies.is_strict("read"));
+    assert!(bodies.is_enabled() && bodies.rejects_not_kept("load") && !bodies.rejects_not_kept("read"));
     assert_eq!((bodies.bounds().max_body, bodies.files.as_ref().unwrap().count), (16 << 20, 64));
     for (from, to, said) in [
         ("16 MiB\"\n  files", "10 KiB\"\n  files", "2: bodies.largest: is under the 64 KiB"),
@@ -700,7 +713,7 @@
 /// Beside ordinary statements nothing is on the way: no body, no file.
 #[test]
 fn ordinary_texts_take_the_ordinary_path() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let disk = FaultyDisk::default();
     let operators = operators(2048, (512, 1024), Some((2048, 8192)), "");
     let served = Served::with(&configuration(&[engine.address]), operators, Some(Arc::new(disk.clone())));
@@ -709,11 +722,11 @@
         for call in [whole("once", id, &text), chunked("once", id + 10, &text)] {
             assert_eq!(send(&served, call).join().unwrap().status, 200);
         }
-        assert!(engine.posted().iter().rev().take(2).all(|post| post.body == text));
+        assert!(engine.post_calls().iter().rev().take(2).all(|post| post.body == text));
     }
     let counts = served.bodies();
     assert_eq!((counts.taken_memory, counts.taken_file, counts.taken_not_kept), (0, 0, 0));
-    assert_eq!(disk.0.made.load(SeqCst), 0);
+    assert_eq!(disk.0.created.load(SeqCst), 0);
     // Without settings nothing beyond them is taken, as before.
     let plain = Served::before(&[engine.address]);
     assert_eq!(send(&plain, whole("once", 30, &text(64 * KB + 1))).join().unwrap().status, 413);
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -6,9 +6,9 @@
 
 use bramblewharf_bodies::accounting::Counts;
 use bramblewharf_bodies::spool::Disk;
-use bramblewharf_gateway::operators::Operators;
+use bramblewharf_gateway::operators::OperatorSettings;
 use bramblewharf_gateway::{config, Gateway};
-use bramblewharf_standins::{read_message, LONG};
+use bramblewharf_standins::{read_message, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -44,7 +44,7 @@
 
 pub struct Served {
     pub address: SocketAddr,
-    pub reloads: tokio::sync::mpsc::UnboundedSender<(Value, Operators)>,
+    pub reloads: tokio::sync::mpsc::UnboundedSender<(Value, OperatorSettings)>,
     pub counts: tokio::sync::mpsc::UnboundedSender<mpsc::Sender<Counts>>,
     pub stop: Option<tokio::sync::oneshot::Sender<()>>,
     pub thread: Option<JoinHandle<()>>,
@@ -52,14 +52,14 @@
 
 impl Served {
     pub fn by(configuration: &Value) -> Served {
-        Served::with(configuration, Operators::default(), None)
+        Served::with(configuration, OperatorSettings::default(), None)
     }
 
-    pub fn with(configuration: &Value, operators: Operators, disk: Option<Arc<dyn Disk>>) -> Served {
+    pub fn with(configuration: &Value, operators: OperatorSettings, disk: Option<Arc<dyn Disk>>) -> Served {
         let configuration = configuration.clone();
         let (told, address) = mpsc::channel();
         let (stop, mut stopped) = tokio::sync::oneshot::channel::<()>();
-        let (reloads, mut reloaded) = tokio::sync::mpsc::unbounded_channel::<(Value, Operators)>();
+        let (reloads, mut reloaded) = tokio::sync::mpsc::unbounded_channel::<(Value, OperatorSettings)>();
         let (counts, mut asked) = tokio::sync::mpsc::unbounded_channel::<mpsc::Sender<Counts>>();
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(async {
@@ -84,14 +84,14 @@
     }
 
     pub fn reload(&self, configuration: Value) -> Result<(), ()> {
-        self.reloads.send((configuration, Operators::default())).map_err(drop)
+        self.reloads.send((configuration, OperatorSettings::default())).map_err(drop)
     }
 
     /// What is held of texts beyond the ordinary size.
     pub fn bodies(&self) -> Counts {
         let (told, counts) = mpsc::channel();
         self.counts.send(told).unwrap();
-        counts.recv_timeout(LONG).unwrap()
+        counts.recv_timeout(TEST_TIMEOUT).unwrap()
     }
 
     /// Waits until that holds of it.
@@ -102,7 +102,7 @@
             if holds(&counts) {
                 return counts;
             }
-            assert!(began.elapsed() < LONG, "{what}: {counts:?}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "{what}: {counts:?}");
             std::thread::yield_now();
         }
     }
@@ -119,7 +119,7 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         stream
     }
@@ -143,7 +143,7 @@
 }
 
 pub fn ask_aside(mut stream: TcpStream, call: String) -> JoinHandle<Answered> {
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(call.as_bytes()).unwrap();
     std::thread::spawn(move || Answered::last(&mut BufReader::new(stream)))
 }
--- a/crates/gateway/tests/common/program.rs
+++ b/crates/gateway/tests/common/program.rs
@@ -1,6 +1,6 @@
 //! The program itself, as a process.
 
-use bramblewharf_standins::LONG;
+use bramblewharf_standins::TEST_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::sync::mpsc;
 
@@ -28,7 +28,7 @@
     /// The next line of the log with these words.
     pub fn wait(&self, words: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(LONG).expect(words);
+            let line = self.lines.recv_timeout(TEST_TIMEOUT).expect(words);
             if line.contains(words) {
                 return line;
             }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The operators' words on a fleet, and the program that shows it.
 
 use bramblewharf_budgets::{Measure, UNIT};
-use bramblewharf_gateway::operators::{self, Known, Operators};
+use bramblewharf_gateway::operators::{self, OperatorSettings, PlatformContext};
 use bramblewharf_gateway::policy::Names;
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
@@ -72,32 +72,33 @@
     let text = GOOD.replace("KEY", key.to_str().unwrap());
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
     let (workloads, customers, kinds) = (names(&["lookup"]), names(&["other", "acme"]), names(&["std"]));
-    let known = |customers| Known {
+    let known = |customers| PlatformContext {
         workloads: &workloads,
         customers,
         kinds: &kinds,
         names: Names::default(),
-        number: 2,
-        longest: Duration::from_secs(3),
+        gateway_number: 2,
+        max_statement_time: Duration::from_secs(3),
         seed: 1,
     };
-    let operators = |text: &str| -> Operators { operators::read(text, None).unwrap() };
-    let terms = operators(&text).fleet_terms(&known(&customers)).unwrap().unwrap();
+    let operators = |text: &str| -> OperatorSettings { operators::read(text, None).unwrap() };
+    let terms = operators(&text).fleet_parameters(&known(&customers)).unwrap().unwrap();
     assert_eq!((terms.start.member_id, terms.start.voter, terms.start.config.voters), (2, None, 3));
     assert_eq!(terms.start.config.max_execution_time, Duration::from_secs(5));
     let budget = &terms.start.budgets[0];
     assert_eq!((budget.scope.customer, budget.measure), (Some(1), Measure::StatementsAtOnce));
     assert_eq!((budget.whole, budget.floor(4), budget.pool(4)), (40 * UNIT, 2 * UNIT, 32 * UNIT));
     // The same file is the same table at every gateway; another figure is another.
-    let table =
-        |text: &str| operators(text).fleet_terms(&known(&customers)).unwrap().unwrap().start.table_digest;
+    let table = |text: &str| {
+        operators(text).fleet_parameters(&known(&customers)).unwrap().unwrap().start.table_digest
+    };
     assert_eq!(table(&text), table(&text.replace("places   = 4", "places   = 4\n  place = 3\n  seat = 1")));
     assert_ne!(table(&text), table(&text.replace("whole    = 40", "whole    = 41")));
     let others = names(&["other"]);
-    let wrong = operators(&text).fleet_terms(&known(&others)).err().unwrap();
+    let wrong = operators(&text).fleet_parameters(&known(&others)).err().unwrap();
     assert_eq!(wrong, "budget.acme.customer: acme is not in the configuration");
     std::fs::write(&key, "short").unwrap();
-    assert!(operators(&text).fleet_terms(&known(&customers)).err().unwrap().contains("under 16 bytes"));
+    assert!(operators(&text).fleet_parameters(&known(&customers)).err().unwrap().contains("under 16 bytes"));
 }
 
 /// Gateways of different builds compare this digest, so the printed form of budgets must not change.
@@ -148,16 +149,16 @@
 "#
     );
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    let known = Known {
+    let known = PlatformContext {
         workloads: &names(&["lookup", "scan"]),
         customers: &names(&["other", "acme"]),
         kinds: &names(&["std", "big"]),
         names: Names::default(),
-        number: 2,
-        longest: Duration::from_secs(3),
+        gateway_number: 2,
+        max_statement_time: Duration::from_secs(3),
         seed: 1,
     };
-    let terms = operators::read(&text, None).unwrap().fleet_terms(&known).unwrap().unwrap();
+    let terms = operators::read(&text, None).unwrap().fleet_parameters(&known).unwrap().unwrap();
     let measures: Vec<Measure> = terms.start.budgets.iter().map(|budget| budget.measure).collect();
     let expected = [
         Measure::StatementsAtOnce,
@@ -186,7 +187,7 @@
     let dir = tempfile::tempdir().unwrap();
     let path = |name: &str| dir.path().join(name).to_str().unwrap().to_string();
     std::fs::write(path("key"), "a key of sixteen bytes").unwrap();
-    let (clients, fleet) = (bramblewharf_standins::nobody(), bramblewharf_standins::nobody());
+    let (clients, fleet) = (bramblewharf_standins::unused_address(), bramblewharf_standins::unused_address());
     let hcl = format!(
         "fleet {{\n name = \"one\"\n key_file = {:?}\n listen = \"{fleet}\"\n places = 1\n seats = [\"{fleet}\"]\n seat = 0\n \
          lease = \"1s\"\n engines_keep = \"100ms\"\n status = {:?}\n}}\nbudget \"all\" {{\n at_once = \"weight\"\n whole = 8\n}}\n",
@@ -212,7 +213,7 @@
         if done && said.contains(" in ") {
             break said;
         }
-        assert!(began.elapsed() < bramblewharf_standins::LONG, "{said}");
+        assert!(began.elapsed() < bramblewharf_standins::TEST_TIMEOUT, "{said}");
         std::thread::sleep(Duration::from_millis(50));
     };
     assert!(members.starts_with("place  incarnation"), "{members}");
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -3,7 +3,7 @@
 mod common;
 use bramblewharf_gateway::config;
 use bramblewharf_gateway::names::{read_answer, Asker, Word};
-use bramblewharf_standins::{answer, nobody, read_message, Call, Engine, Reply, LONG};
+use bramblewharf_standins::{answer, read_message, unused_address, Call, Engine, Reply, TEST_TIMEOUT};
 use bramblewharf_turns::message::Observation as Told;
 use bramblewharf_turns::{EngineHash, GossipMessage};
 use common::names::*;
@@ -38,7 +38,7 @@
     let rows = |n: usize| [json!([n.to_string(), "q\"\\/\u{1}", "zwölf"]), json!([format!("{n}b"), "", " "])];
     let all: Vec<Value> = (0..3).flat_map(rows).collect();
     assert_eq!(answered.body, json!({ "values": all }));
-    let sent = engine.wait(|call| call.method == "POST");
+    let sent = engine.wait_for_call(|call| call.method == "POST");
     assert_eq!((sent.path.as_str(), &sent.body[..]), ("/x", &b"SELECT note FROM sales_17.orders"[..]));
     for (name, value) in [
         ("x-ticket", "0000000000abcdef"),
@@ -48,14 +48,14 @@
         assert_eq!(sent.headers.get(name).map(String::as_str), Some(value));
     }
     assert!((1..=60_000).contains(&sent.headers["x-max-ms"].parse::<u64>().unwrap()));
-    engine.wait(|call| call.path == "/x/0000000000abcdef/2");
+    engine.wait_for_call(|call| call.path == "/x/0000000000abcdef/2");
 }
 
 #[test]
 fn only_what_proves_that_nothing_ran_goes_out_again() {
-    let well = Engine::well();
+    let well = Engine::healthy();
     // The walk begins one past the first engine: that one fails.
-    let served = Served::before(&[well.address, nobody()]);
+    let served = Served::before(&[well.address, unused_address()]);
     assert_eq!(served.ask(&call("once", 1, 60_000, "")).status, 200);
     type Script = fn(&Call) -> Reply;
     let broken: [(Script, bool); 5] = [
@@ -66,11 +66,11 @@
         (|call| if call.method == "POST" { Reply::Reset } else { answer(500, "", b"") }, false),
     ];
     for (at, (script, never_ran)) in broken.into_iter().enumerate() {
-        let (well, ill) = (Engine::well(), Engine::start(script));
+        let (well, ill) = (Engine::healthy(), Engine::start(script));
         let served = Served::before(&[well.address, ill.address]);
         let answered = served.ask(&call("once", 1, 60_000, ""));
         assert_eq!(answered.status, if never_ran { 200 } else { 500 }, "case {at}: {}", answered.body);
-        assert_eq!((ill.posts(), well.posts()), (1, usize::from(never_ran)), "case {at}");
+        assert_eq!((ill.post_count(), well.post_count()), (1, usize::from(never_ran)), "case {at}");
         // One that may run again does.
         assert_eq!(served.ask(&call("read", 2, 60_000, "")).status, 200, "case {at}");
     }
@@ -103,11 +103,11 @@
         },
     ];
     for (at, script) in ill.into_iter().enumerate() {
-        let (well, ill) = (Engine::well(), Engine::start(script));
+        let (well, ill) = (Engine::healthy(), Engine::start(script));
         let served = Served::before(&[well.address, ill.address]);
         let answered = served.ask(&call("read", 1, 60_000, ""));
         assert_eq!(answered.body, json!({"values": [["well", "1", "x"]]}), "case {at}");
-        assert_eq!((ill.posts(), well.posts()), (1, 1), "case {at}");
+        assert_eq!((ill.post_count(), well.post_count()), (1, 1), "case {at}");
     }
 }
 
@@ -162,7 +162,7 @@
             let served = Served::before(&[engine.address]);
             let answered = served.ask(&call("once", 1, 60_000, ""));
             let rows = json!({"values": [["a", "1", "x"], ["b", "2", "y"]]});
-            assert_eq!((engine.posts(), answered.body), (1, rows), "case {at} at {bad_path}");
+            assert_eq!((engine.post_count(), answered.body), (1, rows), "case {at} at {bad_path}");
         }
     }
 }
@@ -179,7 +179,7 @@
     for id in [1, 2] {
         assert_eq!(served.ask(&call("once", id, 60_000, "")).body, json!({"values": [["done"]]}));
         let ticket = format!("{id:016x}");
-        engine.wait(|call| call.method == "CLOSED" && call.headers.get("x-ticket") == Some(&ticket));
+        engine.wait_for_call(|call| call.method == "CLOSED" && call.headers.get("x-ticket") == Some(&ticket));
     }
     let calls: Vec<String> = engine.calls.0.lock().unwrap().iter().map(|call| call.method.clone()).collect();
     assert_eq!(calls[calls.len() - 3..], ["POST", "GET", "CLOSED"]);
@@ -206,7 +206,7 @@
             let answered = served.ask(&call("once", id, 60_000, ""));
             assert_eq!(answered.body, json!({"values": [[format!("{id:016x}")]]}));
         }
-        assert_eq!(engine.posts(), 30);
+        assert_eq!(engine.post_count(), 30);
     }
 }
 
@@ -228,8 +228,8 @@
         let answered = served.ask(&call("once", 1, 300, ""));
         assert_eq!((answered.status, answered.body), (500, json!({"abort": "Failed"})));
         assert!(before.elapsed() >= Duration::from_millis(290));
-        engine.wait(|call| call.method == "DELETE" && call.path == "/x/0000000000000001");
-        assert_eq!(engine.posts(), 1);
+        engine.wait_for_call(|call| call.method == "DELETE" && call.path == "/x/0000000000000001");
+        assert_eq!(engine.post_count(), 1);
     }
 }
 
@@ -251,7 +251,7 @@
     });
     let served = Served::before(&[engine.address]);
     assert_eq!(served.ask(&call("once", 1, 60_000, "")).body, json!({"values": [["late"]]}));
-    assert_eq!(engine.posts(), 1);
+    assert_eq!(engine.post_count(), 1);
 }
 
 #[test]
@@ -260,9 +260,9 @@
     let served = Served::before(&[engine.address]);
     let mut stream = served.connect();
     stream.write_all(call("read", 9, 60_000, "").as_bytes()).unwrap();
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     drop(stream);
-    engine.wait(|call| call.method == "DELETE" && call.path == "/x/0000000000000009");
+    engine.wait_for_call(|call| call.method == "DELETE" && call.path == "/x/0000000000000009");
 }
 
 /// A client that only closes its sending side has left too, but is told so.
@@ -286,7 +286,7 @@
 
 #[test]
 fn bad_calls_are_answered_and_never_reach_an_engine() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let served = Served::before(&[engine.address]);
     let good = call("read", 1, 60_000, "");
     let long = "x".repeat(80_000);
@@ -349,7 +349,7 @@
 /// served meanwhile, whatever the number of the others.
 #[test]
 fn nobody_holds_a_connection_by_silence() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
     configuration["limits"]["sockets"] = json!(128);
     let served = Served::by(&configuration);
@@ -416,7 +416,7 @@
     });
     let served = Served::before(&[engine.address]);
     let held = served.ask_aside(call("once", 7, 60_000, ""));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     let other = call("once", 7, 60_000, "").replace("SELECT note", "DELETE many");
     assert_eq!(served.ask(&other).status, 409);
     for method in ["GET", "DELETE"] {
@@ -424,7 +424,7 @@
     }
     *open.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
-    assert_eq!(engine.posts(), 1);
+    assert_eq!(engine.post_count(), 1);
 }
 
 /// A statement that takes long has a path to come back to: neither a broken connection nor a call made again costs its
@@ -447,7 +447,7 @@
     };
     let deleted = |id: u64| {
         let path = format!("/x/{id:016x}");
-        engine.wait(move |call| call.method == "DELETE" && call.path == path);
+        engine.wait_for_call(move |call| call.method == "DELETE" && call.path == path);
     };
     let given_up = path(1);
     assert_eq!(served.get("DELETE", &given_up).status, 204);
@@ -491,7 +491,7 @@
     let mut held = Vec::new();
     for id in 0..bounds.stmts as u64 {
         held.push(served.ask_aside(call("read", id, 60_000, "")));
-        engine.wait(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
+        engine.wait_for_call(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
     }
     let rejected = served.ask(&call("read", 99, 60_000, ""));
     assert!(rejected.headers["x-pushback-ms"].parse::<u64>().unwrap() <= 2000);
@@ -530,7 +530,7 @@
             None => answer(200, "Page-Count: 1\r\n", b"ill\t1\tx\n"),
         }
     });
-    let well = Engine::well();
+    let well = Engine::healthy();
     let served = Served::before(&[well.address, ill.address]);
     for (id, noise) in noise.into_iter().enumerate() {
         let mut stream = served.connect();
@@ -547,7 +547,7 @@
 /// once, plainly well formed and as it was sent, where there is a result, and else not at all.
 #[test]
 fn changed_calls_are_refused_or_mean_what_they_say() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
     // Capacity is no matter here.
     configuration["settings"]["domain"]["sizeCores"] = json!([10_000]);
@@ -599,7 +599,7 @@
 
 #[test]
 fn calls_may_come_in_pieces_and_ahead_of_answers() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let served = Served::before(&[engine.address]);
     let mut stream = served.connect();
     let both = call("read", 1, 60_000, "") + &call("read", 2, 60_000, "");
@@ -625,10 +625,10 @@
     });
     let mut served = Served::before(&[engine.address]);
     let held = served.ask_aside(call("read", 1, 60_000, ""));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     served.stop.take().unwrap().send(()).unwrap();
     let late = served.ask_aside(call("read", 2, 60_000, ""));
-    engine.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
+    engine.wait_for_call(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
     *open.lock().unwrap() = true;
     for asked in [held, late] {
         assert_eq!(asked.join().unwrap().body, json!({"values": [["done"]]}));
@@ -643,7 +643,7 @@
     let engine = Engine::start(|_| answer(202, "", b""));
     let mut served = Served::before(&[engine.address]);
     let held = served.ask_aside(call("once", 1, 60_000, ""));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     served.stop.take().unwrap().send(()).unwrap();
     assert_eq!(held.join().unwrap().body, json!({"abort": "Failed"}));
     served.thread.take().unwrap().join().unwrap();
@@ -651,7 +651,7 @@
 
 #[test]
 fn the_list_follows_the_name_service_and_no_forged_answer() {
-    let well = Engine::well();
+    let well = Engine::healthy();
     let address = well.address;
     let (names, asked) = name_service(move |number, id| match number {
         // Another id, and no whole list: neither says anything.
@@ -662,10 +662,10 @@
     configuration["names"] = json!(names.to_string());
     let served = Served::by(&configuration);
     // The second question tells that the first was of no use, the third that the second's answer was taken.
-    while asked.recv_timeout(LONG).unwrap() < 1 {}
-    while asked.recv_timeout(LONG).unwrap() < 2 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 1 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 2 {}
     assert_eq!(served.ask(&call("read", 2, 60_000, "")).status, 200);
-    assert_eq!(well.posts(), 1);
+    assert_eq!(well.post_count(), 1);
 }
 
 /// The list follows the name service to another address, from its number on, and no statement notices.
@@ -677,7 +677,7 @@
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let second = Engine::well();
+    let second = Engine::healthy();
     let (at_first, at_second) = (first.address, second.address);
     let (old, _asked) = name_service(move |_, id| vec![list_answer(id, 5, &[("a", at_first, 0)])]);
     // The new one begins with an older list, which is none.
@@ -695,14 +695,14 @@
     }
     *open.lock().unwrap() = false;
     let held = served.ask_aside(call("once", 900, 60_000, ""));
-    first.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with("384")));
+    first.wait_for_call(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with("384")));
     for _ in 0..3 {
-        configuration["names"] = json!(nobody().to_string());
+        configuration["names"] = json!(unused_address().to_string());
         served.reload(configuration.clone()).unwrap();
         configuration["names"] = json!(new.to_string());
         served.reload(configuration.clone()).unwrap();
     }
-    while asked.recv_timeout(LONG).unwrap() < 3 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 3 {}
     assert_eq!(served.ask(&call("once", 901, 60_000, "")).body, json!({"values": [["well", "1", "x"]]}));
     // A later list in the file itself counts too, an earlier one does not.
     let on_file = |no: u64, engine: SocketAddr| {
@@ -714,13 +714,13 @@
     assert_eq!(served.ask(&call("once", 902, 60_000, "")).status, 200);
     *open.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
-    assert_eq!(second.posts(), 2);
+    assert_eq!(second.post_count(), 2);
 }
 
 /// Not even for longer than a bad service was seen to tell them.
 #[test]
 fn an_earlier_number_is_a_late_word() {
-    let address = nobody();
+    let address = unused_address();
     let (names, _asked) = name_service(move |number, id| {
         let serial = [5, 3, 5].get(number).copied().unwrap_or(if number < 29 { 4 } else { 7 });
         vec![list_answer(id, serial, &[("x", address, 1)])]
@@ -742,7 +742,7 @@
 /// The next word that is news: neither that nothing has changed or been heard, nor a list of an earlier number.
 async fn news(asker: &mut Asker) -> Word {
     loop {
-        let word = tokio::time::timeout(LONG, asker.change()).await.unwrap();
+        let word = tokio::time::timeout(TEST_TIMEOUT, asker.change()).await.unwrap();
         match word {
             Word::Same(_) | Word::Nothing => {}
             Word::Disputed(known) => assert!([3, 4].contains(&known.no), "{known:?}"),
@@ -759,7 +759,7 @@
 /// A name service that has been silent says so once, and its first answer counts even if nothing has changed.
 #[test]
 fn a_silent_name_service_is_told_and_its_return_too() {
-    let address = nobody();
+    let address = unused_address();
     let (names, _asked) = name_service(move |number, id| match number {
         0 | 24.. => vec![list_answer(id, 5, &[("x", address, 0)])],
         _ => Vec::new(),
@@ -814,7 +814,7 @@
 fn loads_are_told_to_other_gateways_and_strangers_are_not_heard() {
     let engine = Engine::start(|_| answer(202, "", b""));
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
-    other.set_read_timeout(Some(LONG)).unwrap();
+    other.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut configuration = configuration(&[engine.address]);
     configuration["peer_listen"] = json!(own.to_string());
@@ -836,12 +836,12 @@
     let mut bytes = [0; 300];
     let (length, from) = other.recv_from(&mut bytes).unwrap();
     assert_eq!((&bytes[..length], from), (&told(1)[..], own));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
 }
 
 #[test]
 fn a_bad_configuration_is_named_by_its_key() {
-    let mut good = configuration(&[nobody()]);
+    let mut good = configuration(&[unused_address()]);
     good["settings"]["allowed"]["maxOpen"] = json!(1000);
     good["settings"]["allowed"]["dialTimeoutUs"] = json!(250_000);
     (good["peer_listen"], good["peers"]) = (json!("127.0.0.1:7946"), json!(["127.0.0.1:7946"]));
@@ -942,7 +942,7 @@
     let dir = temporary("bodies");
     std::fs::create_dir(&dir).unwrap();
     let (file, settings) = (dir.join("gateway.json"), dir.join("gateway.hcl"));
-    let listen = nobody();
+    let listen = unused_address();
     let mut configuration = configuration(&[engine.address]);
     configuration["listen"] = json!(listen.to_string());
     std::fs::write(&file, configuration.to_string()).unwrap();
@@ -974,7 +974,7 @@
     let (mut killed, line) = start();
     assert!(line.contains("removed: 0"), "{line}");
     let lost = ask_aside(TcpStream::connect(listen).unwrap(), load(1));
-    engine.wait(|call| call.method == "POST" && call.body.len() == text.len());
+    engine.wait_for_call(|call| call.method == "POST" && call.body.len() == text.len());
     assert_eq!(folders(), 2);
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
@@ -986,7 +986,7 @@
     again.signal("-HUP");
     assert!(again.wait("configuration not reloaded").contains("gateway.hcl:"));
     let held = ask_aside(TcpStream::connect(listen).unwrap(), load(2));
-    engine.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
+    engine.wait_for_call(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
     std::fs::write(&settings, hcl.replace("largest = \"4 MiB\"", "largest = \"128 KiB\"")).unwrap();
     again.signal("-HUP");
     again.wait("configuration reloaded");
@@ -1004,11 +1004,11 @@
 /// SIGHUP ends nothing, not even before the configuration is read; what is wrong leaves the old one in force.
 #[test]
 fn the_program_reloads_by_sighup() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let at = engine.address;
     let (names, asked) = name_service(move |_, id| vec![list_answer(id, 7, &[("e", at, 0)])]);
     let mut configuration = configuration(&[at]);
-    let listen = nobody();
+    let listen = unused_address();
     configuration["listen"] = json!(listen.to_string());
     let file = temporary("pipe");
     assert!(std::process::Command::new("mkfifo").arg(&file).status().unwrap().success());
@@ -1036,7 +1036,7 @@
     reload(&configuration.to_string());
     assert!(program.wait("configuration reloaded").contains("waits_for_restart: [\"limits\"]"));
     program.wait("list of engines");
-    asked.recv_timeout(LONG).unwrap();
+    asked.recv_timeout(TEST_TIMEOUT).unwrap();
     let asked = ask_aside(TcpStream::connect(listen).unwrap(), call("once", 1, 60_000, ""));
     assert_eq!(asked.join().unwrap().status, 200);
     std::fs::remove_file(&file).unwrap();
@@ -1050,7 +1050,7 @@
 /// what the program holds does not grow with how many there have been.
 #[test]
 fn the_program_holds_no_more_for_all_that_has_been() {
-    let engines = [Engine::well(), Engine::well()];
+    let engines = [Engine::healthy(), Engine::healthy()];
     let at: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     let (names, asked) = name_service(move |number, id| {
         let (old, new) = (format!("e{number}"), format!("e{}", number + 1));
@@ -1061,7 +1061,7 @@
         )]
     });
     let mut configuration = configuration(&[]);
-    let listen = nobody();
+    let listen = unused_address();
     (configuration["listen"], configuration["names"]) = (json!(listen.to_string()), json!(names.to_string()));
     configuration["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 128});
     // Engines that start are warm at once here.
@@ -1081,7 +1081,7 @@
     let mut round = |from: u64| {
         for id in from..from + 250 {
             let mut stream = TcpStream::connect(listen).unwrap();
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             stream.write_all(call("read", id, 60_000, "").as_bytes()).unwrap();
             let mut read = BufReader::new(stream);
             assert!(matches!(Answered::read(&mut read).status, 200 | 503));
@@ -1091,7 +1091,7 @@
             }
         }
         while asked.try_recv().is_ok() {}
-        asked.recv_timeout(LONG).unwrap();
+        asked.recv_timeout(TEST_TIMEOUT).unwrap();
     };
     round(0);
     let (kb, _) = held(&program);
@@ -1112,7 +1112,7 @@
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let listen = nobody();
+    let listen = unused_address();
     let file = temporary("serve.json");
     let mut configuration = configuration(&[engine.address]);
     configuration["listen"] = json!(listen.to_string());
@@ -1124,7 +1124,7 @@
     };
     let ask = |id: u64| {
         let asked = ask_aside(TcpStream::connect(listen).unwrap(), call("read", id, 60_000, ""));
-        engine.wait(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
+        engine.wait_for_call(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
         asked
     };
     let mut killed = start();
--- a/crates/gateway/tests/many.rs
+++ b/crates/gateway/tests/many.rs
@@ -1,7 +1,7 @@
 //! Many processes of the program at once, against stand-ins that count.
 
 mod common;
-use bramblewharf_standins::{answer, nobody, Engine};
+use bramblewharf_standins::{answer, unused_address, Engine};
 use common::program::*;
 use common::*;
 use serde_json::{json, Value};
@@ -80,9 +80,9 @@
 /// nine in ten of them at least, and ready means that they serve.
 #[test]
 fn restarted_gateways_are_ready_and_serve_though_nobody_answers_them() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
-    configuration["names"] = json!(nobody().to_string());
+    configuration["names"] = json!(unused_address().to_string());
     // Capacity is no matter here.
     configuration["settings"]["domain"]["sizeCores"] = json!([10_000]);
     let mut fleet = Fleet::new("ready", 20, &configuration);
--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -4,7 +4,7 @@
 mod common;
 use bramblewharf_gateway::config;
 use bramblewharf_gateway::names::{Asker, Word};
-use bramblewharf_standins::{answer, Engine, Reply, LONG};
+use bramblewharf_standins::{answer, Engine, Reply, TEST_TIMEOUT};
 use common::names::*;
 use common::*;
 use serde_json::{json, Value};
@@ -57,7 +57,7 @@
     });
     let served = Served::by(&one_at_a_time(&[well.address, ill.address]));
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).body, json!({"values": [["3"]]}));
-    assert_eq!((ill.posts(), well.posts()), (1, 1));
+    assert_eq!((ill.post_count(), well.post_count()), (1, 1));
 }
 
 /// What was sent on a connection that fell silent may yet be on its way when the engine says that it does not know it.
@@ -79,12 +79,12 @@
             _ => answer(204, "", b""),
         }
     });
-    let well = Engine::well();
+    let well = Engine::healthy();
     let mut configuration = one_at_a_time(&[well.address, late.address]);
     configuration["settings"]["profiles"][0]["promiseUs"] = json!(400_000);
     let served = Served::by(&configuration);
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).body, json!({"values": [["late"]]}));
-    assert_eq!((late.posts(), well.posts()), (1, 0));
+    assert_eq!((late.post_count(), well.post_count()), (1, 0));
 }
 
 /// The engine answers other calls, and has not read the statement: that shows nothing of when it will. The next attempt goes out once
@@ -116,7 +116,7 @@
         let served = Served::by(&one_at_a_time(&[well.address, late.address]));
         let answered = served.ask(&call("read", 1, 3000, ""));
         assert_eq!(
-            (late.posts(), well.posts()),
+            (late.post_count(), well.post_count()),
             (1, usize::from(reads_after.is_some())),
             "{:?}",
             answered.body
@@ -187,7 +187,7 @@
         }),
     ];
     for (what, goes) in ways {
-        let (well, fails) = (Engine::well(), Fails::start());
+        let (well, fails) = (Engine::healthy(), Fails::start());
         let served = Served::before(&[well.address, fails.engine.address]);
         let streams: Vec<TcpStream> = (0..if what == "closes" { 12 } else { 1 })
             .map(|id| {
@@ -196,19 +196,19 @@
                 stream
             })
             .collect();
-        fails.engine.wait(|call| call.method == "POST");
-        let began = well.posts();
+        fails.engine.wait_for_call(|call| call.method == "POST");
+        let began = well.post_count();
         streams.into_iter().for_each(goes);
         fails.client_goes();
-        fails.engine.wait(|call| call.method == "DELETE");
+        fails.engine.wait_for_call(|call| call.method == "DELETE");
         let over = Instant::now();
         while over.elapsed() < 2 * GONE {
-            assert!(well.posts() <= began + 6, "{what}");
+            assert!(well.post_count() <= began + 6, "{what}");
             std::thread::yield_now();
         }
         let tickets: Vec<String> = [&well, &fails.engine]
             .iter()
-            .flat_map(|e| e.posted())
+            .flat_map(|e| e.post_calls())
             .map(|p| p.headers["x-ticket"].clone())
             .collect();
         let mut once = tickets.clone();
@@ -223,7 +223,7 @@
 #[test]
 fn nothing_begins_for_a_client_without_a_call_open() {
     for comes_back in [false, true] {
-        let (well, fails) = (Engine::well(), Fails::start());
+        let (well, fails) = (Engine::healthy(), Fails::start());
         let served = Served::before(&[well.address, fails.engine.address]);
         let mut stream = BufReader::new(served.connect());
         stream.get_mut().write_all(call("read", 1, 60_000, "").as_bytes()).unwrap();
@@ -234,7 +234,7 @@
         let last = match again {
             Some(again) => again.join().unwrap(),
             None => {
-                fails.engine.wait(|call| call.method == "GET" && call.path.ends_with("/0"));
+                fails.engine.wait_for_call(|call| call.method == "GET" && call.path.ends_with("/0"));
                 let before = Instant::now();
                 while before.elapsed() < 2 * GONE {
                     std::thread::yield_now();
@@ -246,7 +246,7 @@
                 answered
             }
         };
-        assert_eq!((last.status, well.posts()), if comes_back { (200, 1) } else { (503, 0) });
+        assert_eq!((last.status, well.post_count()), if comes_back { (200, 1) } else { (503, 0) });
     }
 }
 
@@ -280,12 +280,12 @@
         let (mut stream, _) = loop {
             match self.listener.accept() {
                 Ok(accepted) => break accepted,
-                Err(error) => assert!(before.elapsed() < LONG, "nobody dials: {error}"),
+                Err(error) => assert!(before.elapsed() < TEST_TIMEOUT, "nobody dials: {error}"),
             }
             std::thread::yield_now();
         };
         stream.set_nonblocking(false).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut came = Vec::new();
         let _ = stream.read_to_end(&mut came);
         came
@@ -310,7 +310,7 @@
 /// The same for a drain that is told meanwhile: the statement goes elsewhere, as nothing of it was sent.
 #[test]
 fn a_drain_told_while_a_connection_was_made_sends_the_statement_elsewhere() {
-    let (late, well) = (Late::start(), Engine::well());
+    let (late, well) = (Late::start(), Engine::healthy());
     let address = late.listener.local_addr().unwrap();
     let mut configuration = configuration(&[well.address, address]);
     configuration["settings"]["allowed"]["dialTimeoutUs"] = json!(20_000_000);
@@ -346,7 +346,7 @@
     let mut client = served.connect();
     client.write_all(call.as_bytes()).unwrap();
     let (mut engine, _) = listener.accept().unwrap();
-    engine.set_read_timeout(Some(LONG)).unwrap();
+    engine.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut came = vec![0; 1];
     engine.read_exact(&mut came).unwrap();
     drop(client);
@@ -362,7 +362,7 @@
 /// A call that is refused is answered once, though what came behind its head can't be read as a call.
 #[test]
 fn a_bad_call_is_answered_once() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let served = Served::before(&[engine.address]);
     let good = call("read", 1, 60_000, "");
     for bad in [
@@ -377,7 +377,7 @@
         assert_eq!(read.matches("HTTP/1.1 ").count(), 1, "{read}");
         assert!(read.starts_with("HTTP/1.1 400"), "{read}");
     }
-    assert_eq!(engine.posts(), 0);
+    assert_eq!(engine.post_count(), 0);
 }
 
 /// A connection that the machine has taken and the gateway has not is answered all the same when the gateway closes.
@@ -410,7 +410,7 @@
 /// Whoever rests, or has half a call on the way, sees an orderly end within the bound, and what it sends then is not sent on.
 #[test]
 fn clients_that_rest_neither_hold_the_close_nor_see_a_reset() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
     for at in 0..3 {
         configuration["settings"]["profiles"][at]["deadlineUs"] = json!(1_000_000);
@@ -433,7 +433,7 @@
     }
     closed.join().unwrap();
     assert!(began.elapsed() < Duration::from_millis(1900), "{:?}", began.elapsed());
-    assert_eq!(engine.posts(), 3);
+    assert_eq!(engine.post_count(), 3);
 }
 
 /// A list that falls silent on one socket is asked for from another, and the service that can't be heard at the start is found
@@ -442,7 +442,7 @@
 fn a_list_that_falls_silent_on_one_socket_is_asked_for_from_another() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let names = socket.local_addr().unwrap();
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let address = engine.address;
     std::thread::spawn(move || {
         let (mut bytes, mut silent) = ([0; 512], None);
@@ -460,7 +460,7 @@
         let heard = asker.heard();
         let before = heard.get();
         let word = loop {
-            if let Word::List(known, _) = tokio::time::timeout(LONG, asker.change()).await.unwrap() {
+            if let Word::List(known, _) = tokio::time::timeout(TEST_TIMEOUT, asker.change()).await.unwrap() {
                 break known;
             }
         };
@@ -472,7 +472,7 @@
 /// back, and what is served then comes from it.
 #[test]
 fn idle_clients_cost_neither_the_list_nor_the_service() {
-    let well = Engine::well();
+    let well = Engine::healthy();
     let address = well.address;
     let (names, asked) = name_service(move |number, id| match number {
         0..12 => Vec::new(),
@@ -483,7 +483,7 @@
     configuration["names"] = json!(names.to_string());
     let served = Served::by(&configuration);
     let idle: Vec<TcpStream> = (0..300).map(|_| served.connect()).collect();
-    while asked.recv_timeout(LONG).unwrap() < 14 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 14 {}
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).status, 200);
     drop(idle);
 }
@@ -492,7 +492,7 @@
 /// with before: names and positions are those of its own settings.
 #[test]
 fn customers_are_kept_apart() {
-    let (ours, theirs) = (Engine::well(), Engine::well());
+    let (ours, theirs) = (Engine::healthy(), Engine::healthy());
     let first = Served::before(&[ours.address]);
     let mut other = configuration(&[theirs.address]);
     let profiles = other["settings"]["profiles"].as_array_mut().unwrap();
@@ -517,7 +517,7 @@
     assert_eq!(first.ask(&call("load", 31, 60_000, KEY)).status, 200);
     assert_eq!(first.ask(&call("load", 32, 60_000, "")).status, 400);
     let queues = |engine: &Engine| -> Vec<String> {
-        engine.posted().iter().map(|post| post.headers["x-queue"].clone()).collect()
+        engine.post_calls().iter().map(|post| post.headers["x-queue"].clone()).collect()
     };
     assert!(queues(&theirs).iter().all(|queue| ["survey", "load"].contains(&queue.as_str())));
     assert!(queues(&ours).iter().all(|queue| ["once", "load"].contains(&queue.as_str())));
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,7 +1,7 @@
 //! Campaigns against fleets: many plans of faults, and the smallest that breaks something.
 
 use bramblewharf_fleet::InjectedBug;
-use bramblewharf_gateway::{cli, machine_time, policy_cli, Ports};
+use bramblewharf_gateway::{boottime_now, cli, policy_cli, Ports};
 use bramblewharf_rig::campaign;
 use bramblewharf_rig::counted::Counting;
 use bramblewharf_rig::plan::{draw, kinds, smaller, Plan};
@@ -185,9 +185,9 @@
 }
 
 fn serve(config: PathBuf, settings: Option<PathBuf>, fast: i64, wrong: Option<Mistake>) -> ExitCode {
-    let start = machine_time();
+    let start = boottime_now();
     let ticks = move || {
-        let passed = machine_time() - start;
+        let passed = boottime_now() - start;
         start + passed.mul_f64((1000 + fast) as f64 / 1000.0)
     };
     let wrong_policy = matches!(wrong, Some(Mistake::SkipsBoth))
--- a/crates/rig/src/scale/hollow/fleet.rs
+++ b/crates/rig/src/scale/hollow/fleet.rs
@@ -4,7 +4,7 @@
 use bramblewharf_fleet::{Incarnation, Key};
 use bramblewharf_gateway::config::{self, Start};
 use bramblewharf_gateway::operators;
-use bramblewharf_standins::nobody;
+use bramblewharf_standins::unused_address;
 use nanorand::{Rng, WyRand};
 use serde_json::{json, Value};
 use std::fs::{self, File};
@@ -172,7 +172,7 @@
             move |e: io::Error| format!("{what}: {e}")
         };
         let hollow = plan.gateways - plan.processes;
-        let host = nobody().ip();
+        let host = unused_address().ip();
         // Below those that the system gives out, and none of them twice: fleets of one process may be there at once.
         static NEXT: AtomicU16 = AtomicU16::new(0);
         let ports = NEXT.fetch_add(plan.processes as u16, Relaxed);
@@ -412,7 +412,16 @@
     let mut site = template.site.clone();
     (site.gateway, site.zone) = (at as u32, zone(at).into());
     let policy = Some((start, policy.names));
-    Ok(Own { at, part, policy, site, list: template.known.list.clone(), seed: rng.generate(), fleet, peers })
+    Ok(Own {
+        at,
+        part,
+        policy,
+        site,
+        list: template.cached_engines.list.clone(),
+        seed: rng.generate(),
+        fleet,
+        peers,
+    })
 }
 
 fn zone(at: usize) -> String {
--- a/crates/rig/src/scale/hollow/gateway.rs
+++ b/crates/rig/src/scale/hollow/gateway.rs
@@ -8,7 +8,7 @@
 use bramblewharf_gateway::reducer::{
     AfterCancel, Answer, Effect, Ending, Input, Listed, Parcel, Reducer, Taken, Text,
 };
-use bramblewharf_gateway::{machine_time, policy, LONGEST_OF_PEERS, MOST_A_SECOND};
+use bramblewharf_gateway::{boottime_now, policy, MAX_BYTES_PER_SECOND, MAX_PEER_DATAGRAM_BYTES};
 use bramblewharf_policy::PolicyMessage;
 use bytes::Bytes;
 use nanorand::{Rng, WyRand};
@@ -131,7 +131,7 @@
     }
 
     fn start(own: Own, shared: Arc<Shared>) -> Result<Hollow, String> {
-        let now = machine_time();
+        let now = boottime_now();
         let socket = |bound: Bound| UdpSocket::from_std(bound).map_err(|e| format!("socket: {e}"));
         let (fleet, peers) = (socket(own.fleet)?, socket(own.peers)?);
         let (reducer, first) = Reducer::start_in(Some(own.part), own.policy, own.site, own.seed, HELD, now);
@@ -158,7 +158,7 @@
         self.inputs.push_back(input);
         // What an effect brings comes after all effects of the step that had it, as in the program.
         while let Some(input) = self.inputs.pop_front() {
-            let effects = self.reducer.step(machine_time(), input);
+            let effects = self.reducer.step(boottime_now(), input);
             effects.into_iter().for_each(|effect| self.carry_out(effect));
         }
     }
@@ -190,7 +190,7 @@
                     true => REFUSES,
                     false => TAKES.mul_f64(0.5 - (1.0 - self.rng.generate::<f64>()).ln() / 2.0),
                 };
-                self.running.push(Reverse((machine_time() + wait, id, execution, !ill)));
+                self.running.push(Reverse((boottime_now() + wait, id, execution, !ill)));
             }
             Effect::Stop { id, execution, .. } => {
                 self.inputs.push_back(Input::Stopped { id, execution, after: AfterCancel::Over })
@@ -216,11 +216,11 @@
             Recipient::Address(address) => Some(*address),
         };
         let (Some(address), Some(bytes)) = (address, envelope.encode(&self.shared.key)) else { return };
-        let now = machine_time();
+        let now = boottime_now();
         if now >= self.since.0 + Duration::from_secs(1) {
             self.since = (now, 0);
         }
-        if self.since.1 + bytes.len() as u64 > MOST_A_SECOND {
+        if self.since.1 + bytes.len() as u64 > MAX_BYTES_PER_SECOND {
             return add(&self.seen().held_back, 1);
         }
         self.since.1 += bytes.len() as u64;
@@ -250,7 +250,7 @@
         if self.arrives(bytes) {
             // As the program looks it up.
             let number = self.shared.peers.iter().position(|address| *address == from);
-            let number = number.filter(|at| *at != self.at && bytes.len() <= LONGEST_OF_PEERS);
+            let number = number.filter(|at| *at != self.at && bytes.len() <= MAX_PEER_DATAGRAM_BYTES);
             match number.map(|number| bramblewharf_site::message::read(number as u32, bytes)) {
                 None | Some(bramblewharf::interface::Event::Unreadable) => add(&self.seen().passed_over, 1),
                 Some(event) => self.input(Input::Told(event)),
@@ -283,7 +283,7 @@
     }
 
     fn wake(&mut self, due: Duration) {
-        let now = machine_time();
+        let now = boottime_now();
         let late = now.saturating_sub(due).as_micros() as u64;
         if late > self.seen().latest.load(Relaxed) {
             self.seen().latest.store(late, Relaxed);
@@ -362,9 +362,9 @@
         Ok(hollow) => hollow,
         Err(error) => return eprintln!("hollow: {error}"),
     };
-    let (mut of_fleet, mut of_peers) = ([0; MAX_DATAGRAM_BYTES + 1], [0; LONGEST_OF_PEERS + 1]);
+    let (mut of_fleet, mut of_peers) = ([0; MAX_DATAGRAM_BYTES + 1], [0; MAX_PEER_DATAGRAM_BYTES + 1]);
     while !hollow.shared.over.load(Relaxed) && !hollow.seen().ended.load(Relaxed) {
-        let now = machine_time();
+        let now = boottime_now();
         let due = hollow.due(now);
         let at = Instant::now() + due.saturating_sub(now);
         tokio::select! {
--- a/crates/rig/src/scale/sockets.rs
+++ b/crates/rig/src/scale/sockets.rs
@@ -4,7 +4,7 @@
 use super::report::Table;
 use super::room;
 use crate::world::{call, own_address, Came};
-use bramblewharf_standins::Crowd;
+use bramblewharf_standins::EnginePool;
 use rustix::process::{getrlimit, kill_process, Pid, Resource, Signal};
 use serde_json::{json, Value};
 use std::fs::{self, File};
@@ -246,7 +246,7 @@
     for (at, process) in processes.iter_mut().enumerate() {
         process.left_open = records.open(at);
     }
-    Ok(Seen { engines, processes, resting, burst, failed: records.failed })
+    Ok(Seen { engines, processes, resting, burst, failed: records.failed_accepts })
 }
 
 /// A process of the program: gone when this is dropped.
@@ -311,7 +311,7 @@
 struct World {
     // Processes end before their engines and files do.
     served: Vec<Served>,
-    crowd: Crowd,
+    crowd: EnginePool,
     sockets: usize,
     engines: usize,
     _dir: tempfile::TempDir,
@@ -320,7 +320,7 @@
 impl World {
     fn start(args: &Args, engines: usize, program: &Path) -> io::Result<World> {
         let dir = tempfile::tempdir()?;
-        let crowd = Crowd::start(engines, args.processes, WORKS, args.seed)?;
+        let crowd = EnginePool::start(engines, args.processes, WORKS, args.seed)?;
         let mut served = Vec::new();
         for at in 0..args.processes {
             goes_on()?;
@@ -391,11 +391,12 @@
         let seen = &mut served.seen;
         (seen.answers, seen.spent, seen.took, seen.after) = (answers, spent, began.elapsed(), after);
         let records = self.crowd.records();
-        seen.distinct = records.distinct(at);
-        seen.most_at_one = records.most_at_one(at);
-        seen.most_statements = records.lines[at].iter().map(|line| line.statements).max().unwrap_or(0);
+        seen.distinct = records.engines_used(at);
+        seen.most_at_one = records.max_open_per_engine(at);
+        seen.most_statements =
+            records.engine_records[at].iter().map(|line| line.statements).max().unwrap_or(0);
         seen.handshakes = records.opened(at);
-        let ours = records.begun.iter().filter(|(id, _)| id.starts_with(&format!("{:04x}", at + 1)));
+        let ours = records.started.iter().filter(|(id, _)| id.starts_with(&format!("{:04x}", at + 1)));
         let ours: Vec<u32> = ours.map(|(_, begun)| *begun).collect();
         seen.known = ours.len() as u64;
         seen.begun = ours.iter().map(|begun| u64::from(*begun)).sum();
@@ -414,10 +415,10 @@
     /// Of the first process: all at once, whatever becomes of the others. All processes have left afterwards.
     fn burst(&mut self, count: usize) -> io::Result<Burst> {
         eprintln!("{} engines: {count} statements at once, {} sockets", self.engines, self.sockets);
-        self.crowd.set_lasts(BURST);
+        self.crowd.set_durations(BURST);
         {
             let mut records = self.crowd.records();
-            records.most_in_work.fill(0);
+            records.max_in_flight.fill(0);
         }
         let (address, bounds) = (self.served[0].address, self.served[0].seen.bounds);
         // At the bound of connections the burst would wait to be accepted, and be none.
@@ -434,7 +435,7 @@
         });
         let took = began.elapsed();
         drop(lines);
-        let most_in_work = self.crowd.records().most_in_work[0];
+        let most_in_work = self.crowd.records().max_in_flight[0];
         self.served.iter_mut().try_for_each(Served::leave)?;
         let log = self.served[0].text();
         let at_bound = log
@@ -536,7 +537,7 @@
     engines: usize,
     at: usize,
     program: &Path,
-    crowd: &Crowd,
+    crowd: &EnginePool,
     dir: &Path,
 ) -> io::Result<Served> {
     let address = own_address();
@@ -580,7 +581,7 @@
     at: usize,
     number: usize,
     address: SocketAddr,
-    crowd: &Crowd,
+    crowd: &EnginePool,
 ) -> Value {
     let member = |engine: usize| {
         json!({"id": format!("e-{engine}"), "host_port": crowd.address(at, engine).to_string(), "locality": "here",
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -2,8 +2,8 @@
 //! is done to them, and what must hold of the records that they leave.
 
 use crate::relay::{Link, Streams, TcpRelay, UdpRelay, Way};
-use bramblewharf_gateway::machine_time;
-use bramblewharf_standins::{most_at_once, nobody, Works};
+use bramblewharf_gateway::boottime_now;
+use bramblewharf_standins::{max_concurrent, unused_address, TimedEngine};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -79,7 +79,7 @@
 /// Of this process's own host, and never given twice: a process that is to listen there finds it free.
 pub(crate) fn own_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
-    SocketAddr::new(nobody().ip(), NEXT.fetch_add(1, Ordering::SeqCst))
+    SocketAddr::new(unused_address().ip(), NEXT.fetch_add(1, Ordering::SeqCst))
 }
 
 struct Process {
@@ -137,7 +137,7 @@
 
 pub struct World {
     pub plan: Plan,
-    pub engines: Vec<Works>,
+    pub engines: Vec<TimedEngine>,
     gateways: Vec<Process>,
     /// Between a gateway and a seat's gateway: the first side is the gateway's.
     links: BTreeMap<(usize, usize), UdpRelay>,
@@ -153,8 +153,8 @@
     pub fn new(plan: Plan, program: &Path) -> io::Result<World> {
         let dir = tempfile::tempdir()?;
         fs::write(dir.path().join("key"), "the key of a fleet in the rig")?;
-        let engines: Vec<Works> =
-            (0..plan.engines).map(|_| Works::start(plan.lasts, plan.engines_keep)).collect();
+        let engines: Vec<TimedEngine> =
+            (0..plan.engines).map(|_| TimedEngine::start(plan.lasts, plan.engines_keep)).collect();
         let mut gateways = Vec::new();
         for _ in 0..plan.gateways {
             let relays: io::Result<Vec<TcpRelay>> =
@@ -415,7 +415,7 @@
 
     /// Executions that have begun at engines so far.
     pub fn begun(&self) -> usize {
-        self.engines.iter().map(|engine| engine.ran().len()).sum()
+        self.engines.iter().map(|engine| engine.executions().len()).sum()
     }
 
     /// Starts a gateway, if it is not there, and waits until it serves.
@@ -490,7 +490,7 @@
             let _ = child.wait();
         }
         if let Some(life) = self.gateways[at].lives.last_mut() {
-            life.ended = Some(machine_time());
+            life.ended = Some(boottime_now());
         }
     }
 
@@ -583,7 +583,7 @@
         let Some(life) = self.gateways[at].lives.last().filter(|life| life.ended.is_none()) else { return 0 };
         let facts = read(&life.facts);
         let Some(last) = facts.iter().rev().find(|fact| fact["budget"].is_string()) else { return 0 };
-        let leave = if last["until_us"].as_u64() > Some(machine_time().as_micros() as u64) {
+        let leave = if last["until_us"].as_u64() > Some(boottime_now().as_micros() as u64) {
             &last["leave"]
         } else {
             &Value::Null
@@ -639,7 +639,7 @@
         if most > whole {
             return Err(format!("leave for {most} of {whole}: (gateway, life, part) {then:?}"));
         }
-        match most_at_once(self.engines.iter()) {
+        match max_concurrent(self.engines.iter()) {
             (most, at) if most as u64 > whole => Err(format!("{most} of {whole} in use at {at:?}")),
             _ => Ok(()),
         }
@@ -655,8 +655,8 @@
         std::thread::sleep(span);
         let to = Instant::now();
         let ran = self.engines.iter().flat_map(|engine| {
-            let keep = engine.keep;
-            engine.ran().into_iter().map(move |ran| (ran.began, ran.ended(keep)))
+            let keep = engine.orphan_retention;
+            engine.executions().into_iter().map(move |ran| (ran.began, ran.ended(keep)))
         });
         let busy: Duration =
             ran.map(|(began, ended)| ended.min(to).saturating_duration_since(began.max(from))).sum();
--- a/crates/rig/tests/signals.rs
+++ b/crates/rig/tests/signals.rs
@@ -42,8 +42,8 @@
     );
     // Well again: all use it, within seconds.
     world.set_engine(0, Streams::Well);
-    let ran = world.engines[0].ran().len();
-    world.wait("it is used again", |world| world.engines[0].ran().len() > ran + 40);
+    let ran = world.engines[0].executions().len();
+    world.wait("it is used again", |world| world.engines[0].executions().len() > ran + 40);
     lost
 }
 
@@ -63,7 +63,7 @@
     let liar = UdpSocket::bind(world.stranger).unwrap();
     let clients = crowd(&world);
     world.wait("statements everywhere", |_| clients.iter().all(|c| c.tally.completed() > 5));
-    let ran: Vec<usize> = world.engines.iter().map(|engine| engine.ran().len()).collect();
+    let ran: Vec<usize> = world.engines.iter().map(|engine| engine.executions().len()).collect();
     let before = completed(&clients);
     std::thread::sleep(2000 * MS);
     let usual = completed(&clients) - before;
@@ -80,7 +80,7 @@
     }
     let during = completed(&clients) - before - usual;
     for (engine, before) in world.engines.iter().zip(ran) {
-        assert!(engine.ran().len() > before + 20, "an engine is lost to a lie");
+        assert!(engine.executions().len() > before + 20, "an engine is lost to a lie");
     }
     println!("completed: {during} beside the liar, {usual} before");
     assert!(during * 4 > usual * 3, "{during} completed beside the liar, {usual} before");
--- a/crates/standins/src/disk.rs
+++ b/crates/standins/src/disk.rs
@@ -9,19 +9,19 @@
 #[derive(Default)]
 pub struct Faults {
     /// Bytes that may yet be written on this disk before it is full; below zero: any number.
-    pub room: AtomicI64,
+    pub free_bytes: AtomicI64,
     /// Reads and writes that fail with EIO from now on.
-    pub failing: AtomicUsize,
+    pub io_errors: AtomicUsize,
     /// Of what is read, the byte at this place (from 1) is wrong; 0: none.
-    pub wrong_byte: AtomicU64,
+    pub corrupted_byte: AtomicU64,
     /// Files end here, whatever was written; 0: nowhere.
-    pub cut_at: AtomicU64,
+    pub truncated_at: AtomicU64,
     /// Files that can be made yet; below zero: any number.
-    pub files: AtomicI64,
-    pub made: AtomicUsize,
+    pub files_allowed: AtomicI64,
+    pub created: AtomicUsize,
     pub open: AtomicUsize,
     /// While held, no write ends.
-    held: (Mutex<bool>, Condvar),
+    writes_blocked: (Mutex<bool>, Condvar),
 }
 
 /// A disk of these faults; none at first.
@@ -30,29 +30,30 @@
 
 impl Default for FaultyDisk {
     fn default() -> FaultyDisk {
-        let faults = Faults { room: AtomicI64::new(-1), files: AtomicI64::new(-1), ..Faults::default() };
+        let faults =
+            Faults { free_bytes: AtomicI64::new(-1), files_allowed: AtomicI64::new(-1), ..Faults::default() };
         FaultyDisk(Arc::new(faults))
     }
 }
 
 impl FaultyDisk {
     /// Writes wait until they are let go.
-    pub fn hold(&self, held: bool) {
-        *self.0.held.0.lock().unwrap() = held;
-        self.0.held.1.notify_all();
+    pub fn block_writes(&self, writes_blocked: bool) {
+        *self.0.writes_blocked.0.lock().unwrap() = writes_blocked;
+        self.0.writes_blocked.1.notify_all();
     }
 }
 
 impl Disk for FaultyDisk {
     fn create(&self) -> io::Result<Box<dyn SpoolFile>> {
-        let files = self.0.files.load(Ordering::SeqCst);
-        if files == 0 {
+        let files_allowed = self.0.files_allowed.load(Ordering::SeqCst);
+        if files_allowed == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        if files > 0 {
-            self.0.files.fetch_sub(1, Ordering::SeqCst);
+        if files_allowed > 0 {
+            self.0.files_allowed.fetch_sub(1, Ordering::SeqCst);
         }
-        self.0.made.fetch_add(1, Ordering::SeqCst);
+        self.0.created.fetch_add(1, Ordering::SeqCst);
         self.0.open.fetch_add(1, Ordering::SeqCst);
         Ok(Box::new(FaultyFile { faults: self.0.clone(), bytes: Mutex::default() }))
     }
@@ -64,23 +65,29 @@
 }
 
 impl FaultyFile {
-    fn fails(&self) -> io::Result<()> {
-        let failing = &self.faults.failing;
-        let left = failing.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
+    fn inject_error(&self) -> io::Result<()> {
+        let io_errors = &self.faults.io_errors;
+        let left = io_errors.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1));
         left.map_or(Ok(()), |_| Err(io::Error::from_raw_os_error(5)))
     }
 }
 
 impl SpoolFile for FaultyFile {
     fn write_all_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        let held = self.faults.held.0.lock().unwrap();
-        drop(self.faults.held.1.wait_while(held, |held| *held).unwrap());
-        self.fails()?;
-        let room = self.faults.room.load(Ordering::SeqCst);
+        let writes_blocked = self.faults.writes_blocked.0.lock().unwrap();
+        drop(
+            self.faults
+                .writes_blocked
+                .1
+                .wait_while(writes_blocked, |writes_blocked| *writes_blocked)
+                .unwrap(),
+        );
+        self.inject_error()?;
+        let free_bytes = self.faults.free_bytes.load(Ordering::SeqCst);
         // A disk that fills up takes what it has room for, and then says so.
-        let taken = if room < 0 { bytes.len() } else { bytes.len().min(room as usize) };
-        if room >= 0 {
-            self.faults.room.fetch_sub(taken as i64, Ordering::SeqCst);
+        let taken = if free_bytes < 0 { bytes.len() } else { bytes.len().min(free_bytes as usize) };
+        if free_bytes >= 0 {
+            self.faults.free_bytes.fetch_sub(taken as i64, Ordering::SeqCst);
         }
         let mut file = self.bytes.lock().unwrap();
         let end = at as usize + taken;
@@ -95,16 +102,16 @@
     }
 
     fn read_exact_at(&self, bytes: &mut [u8], at: u64) -> io::Result<()> {
-        self.fails()?;
+        self.inject_error()?;
         let file = self.bytes.lock().unwrap();
-        let cut = self.faults.cut_at.load(Ordering::SeqCst);
+        let cut = self.faults.truncated_at.load(Ordering::SeqCst);
         let length = if cut > 0 { file.len().min(cut as usize) } else { file.len() };
         let end = at as usize + bytes.len();
         if end > length {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         bytes.copy_from_slice(&file[at as usize..end]);
-        let wrong = self.faults.wrong_byte.load(Ordering::SeqCst);
+        let wrong = self.faults.corrupted_byte.load(Ordering::SeqCst);
         if wrong > at && wrong <= end as u64 {
             bytes[(wrong - 1 - at) as usize] ^= 1;
         }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -2,7 +2,7 @@
 //! every byte of its body, and what of it came.
 
 use crate::http::{read_body, read_head};
-use crate::LONG;
+use crate::TEST_TIMEOUT;
 use std::collections::{HashMap, HashSet};
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -34,7 +34,7 @@
 
 /// What is taken of a call's body before it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take {
+pub enum BodyRead {
     All,
     /// So many bytes; what follows is never read.
     Only(u64),
@@ -55,12 +55,12 @@
 
 impl Engine {
     pub fn start(script: impl Fn(&Call) -> Reply + Send + Sync + 'static) -> Engine {
-        Engine::taking(|_| Take::All, script)
+        Engine::start_with_body_read(|_| BodyRead::All, script)
     }
 
     /// `take` sees a call without its body.
-    pub fn taking(
-        take: impl Fn(&Call) -> Take + Send + Sync + 'static,
+    pub fn start_with_body_read(
+        take: impl Fn(&Call) -> BodyRead + Send + Sync + 'static,
         script: impl Fn(&Call) -> Reply + Send + Sync + 'static,
     ) -> Engine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -79,7 +79,7 @@
     fn serve(
         stream: TcpStream,
         seen: &(Mutex<Vec<Call>>, Condvar),
-        take: &dyn Fn(&Call) -> Take,
+        take: &dyn Fn(&Call) -> BodyRead,
         script: &dyn Fn(&Call) -> Reply,
     ) {
         let mut read = BufReader::new(stream.try_clone().unwrap());
@@ -95,9 +95,9 @@
             let taken = take(&call);
             let mut body = Vec::new();
             let came = match taken {
-                Take::All => read_body(&mut read, &call.headers, &mut body, u64::MAX),
-                Take::Only(most) => read_body(&mut read, &call.headers, &mut body, most),
-                Take::Slowly(pause) => {
+                BodyRead::All => read_body(&mut read, &call.headers, &mut body, u64::MAX),
+                BodyRead::Only(most) => read_body(&mut read, &call.headers, &mut body, most),
+                BodyRead::Slowly(pause) => {
                     let length = call.headers.get("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
                     let mut byte = [0];
                     while body.len() < length && read.read_exact(&mut byte).is_ok() {
@@ -107,7 +107,7 @@
                     (body.len() == length).then_some(())
                 }
             };
-            call.whole = came.is_some() && !matches!(taken, Take::Only(_));
+            call.whole = came.is_some() && !matches!(taken, BodyRead::Only(_));
             call.body = body;
             tell(call.clone());
             if came.is_none() {
@@ -118,7 +118,7 @@
                     let head =
                         format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
                     let _ = write.write_all(&[head.as_bytes(), &body].concat());
-                    if matches!(taken, Take::Only(_)) {
+                    if matches!(taken, BodyRead::Only(_)) {
                         // It reads no further, and the connection with what is unread on it stays for a while.
                         let _ = stream.shutdown(Shutdown::Write);
                         std::thread::sleep(Duration::from_millis(300));
@@ -148,8 +148,8 @@
                     return;
                 }
                 Reply::Silent => {
-                    if matches!(taken, Take::Only(_)) {
-                        std::thread::sleep(LONG);
+                    if matches!(taken, BodyRead::Only(_)) {
+                        std::thread::sleep(TEST_TIMEOUT);
                         return;
                     }
                     let _ = read.read_to_end(&mut Vec::new());
@@ -161,7 +161,7 @@
     }
 
     /// One that completes whatever came whole, with one row.
-    pub fn well() -> Engine {
+    pub fn healthy() -> Engine {
         let known = Mutex::new(HashSet::new());
         Engine::start(move |call| {
             let mut known = known.lock().unwrap();
@@ -181,10 +181,10 @@
     }
 
     /// The first call for which `wanted` holds, once it has come.
-    pub fn wait(&self, wanted: impl Fn(&Call) -> bool) -> Call {
+    pub fn wait_for_call(&self, wanted: impl Fn(&Call) -> bool) -> Call {
         let calls = self.calls.0.lock().unwrap();
         let none = |calls: &mut Vec<Call>| !calls.iter().any(&wanted);
-        let (calls, waited) = self.calls.1.wait_timeout_while(calls, LONG, none).unwrap();
+        let (calls, waited) = self.calls.1.wait_timeout_while(calls, TEST_TIMEOUT, none).unwrap();
         let shown = |calls: &[Call]| -> Vec<String> {
             calls.iter().map(|call| format!("{} {} {}", call.method, call.path, call.body.len())).collect()
         };
@@ -192,20 +192,20 @@
         calls.iter().find(|call| wanted(call)).unwrap().clone()
     }
 
-    pub fn posts(&self) -> usize {
+    pub fn post_count(&self) -> usize {
         self.calls.0.lock().unwrap().iter().filter(|call| call.method == "POST").count()
     }
 
     /// Waits until so many executions were begun here and recorded.
-    pub fn wait_posts(&self, count: usize) {
+    pub fn wait_for_posts(&self, count: usize) {
         let calls = self.calls.0.lock().unwrap();
         let fewer = |calls: &mut Vec<Call>| calls.iter().filter(|call| call.method == "POST").count() < count;
-        let (_calls, waited) = self.calls.1.wait_timeout_while(calls, LONG, fewer).unwrap();
+        let (_calls, waited) = self.calls.1.wait_timeout_while(calls, TEST_TIMEOUT, fewer).unwrap();
         assert!(!waited.timed_out(), "not {count} executions");
     }
 
     /// Executions that were begun here, with what came of them.
-    pub fn posted(&self) -> Vec<Call> {
+    pub fn post_calls(&self) -> Vec<Call> {
         self.calls.0.lock().unwrap().iter().filter(|call| call.method == "POST").cloned().collect()
     }
 }
--- a/crates/standins/src/crowd.rs
+++ b/crates/standins/src/engine_pool.rs
@@ -14,61 +14,61 @@
 use tokio::sync::oneshot;
 
 /// An engine answers within this, if only that there is no news.
-const NEWS: Duration = Duration::from_millis(250);
+const POLL_TIMEOUT: Duration = Duration::from_millis(250);
 /// The engines' addresses begin behind this one: hosts of these tests that listen for themselves are all before it.
-const FIRST: u32 = u32::from_be_bytes([127, 192, 0, 0]);
-pub const MOST_ENGINES: usize = 1 << 21;
+const ADDRESS_BASE: u32 = u32::from_be_bytes([127, 192, 0, 0]);
+pub const MAX_ENGINES: usize = 1 << 21;
 /// No call of a gateway is longer; whoever sends more has its connection closed.
-const LONGEST: usize = 128 * 1024;
+const MAX_CALL_BYTES: usize = 128 * 1024;
 
 /// What one gateway has done at one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Line {
+pub struct EngineRecord {
     pub opened: u64,
     pub open: u64,
-    pub most_open: u64,
+    pub max_open: u64,
     pub statements: u64,
 }
 
 #[derive(Debug, Default)]
 pub struct Records {
     /// By gateway, by engine.
-    pub lines: Vec<Vec<Line>>,
+    pub engine_records: Vec<Vec<EngineRecord>>,
     /// Each connection that came: when, and from which gateway.
     pub handshakes: Vec<(Instant, usize)>,
     /// How often each statement was begun.
-    pub begun: HashMap<String, u32>,
+    pub started: HashMap<String, u32>,
     /// Statements in work, and the most at once, by gateway.
-    pub in_work: Vec<u64>,
-    pub most_in_work: Vec<u64>,
+    pub in_flight: Vec<u64>,
+    pub max_in_flight: Vec<u64>,
     /// Connections that could not be accepted, or were to none of the engines.
-    pub failed: u64,
+    pub failed_accepts: u64,
     due: HashMap<String, Instant>,
 }
 
 impl Records {
     /// Engines that a gateway has opened a connection to.
-    pub fn distinct(&self, gateway: usize) -> usize {
-        self.lines[gateway].iter().filter(|line| line.opened > 0).count()
+    pub fn engines_used(&self, gateway: usize) -> usize {
+        self.engine_records[gateway].iter().filter(|record| record.opened > 0).count()
     }
 
     /// The most connections that one engine had from a gateway at once.
-    pub fn most_at_one(&self, gateway: usize) -> u64 {
-        self.lines[gateway].iter().map(|line| line.most_open).max().unwrap_or(0)
+    pub fn max_open_per_engine(&self, gateway: usize) -> u64 {
+        self.engine_records[gateway].iter().map(|record| record.max_open).max().unwrap_or(0)
     }
 
     pub fn opened(&self, gateway: usize) -> u64 {
-        self.lines[gateway].iter().map(|line| line.opened).sum()
+        self.engine_records[gateway].iter().map(|record| record.opened).sum()
     }
 
     pub fn open(&self, gateway: usize) -> u64 {
-        self.lines[gateway].iter().map(|line| line.open).sum()
+        self.engine_records[gateway].iter().map(|record| record.open).sum()
     }
 }
 
 struct Shared {
     records: Mutex<Records>,
-    lasts: Mutex<RangeInclusive<Duration>>,
+    durations: Mutex<RangeInclusive<Duration>>,
     rng: Mutex<WyRand>,
     engines: usize,
 }
@@ -78,30 +78,30 @@
         self.records.lock().expect("records")
     }
 
-    fn drawn(&self) -> Duration {
-        let lasts = self.lasts.lock().expect("lasts").clone();
-        let (least, most) = (lasts.start().as_micros() as u64, lasts.end().as_micros() as u64);
+    fn draw_duration(&self) -> Duration {
+        let durations = self.durations.lock().expect("lasts").clone();
+        let (least, most) = (durations.start().as_micros() as u64, durations.end().as_micros() as u64);
         Duration::from_micros(self.rng.lock().expect("rng").generate_range(least..=most.max(least)))
     }
 }
 
 /// They end when this is dropped.
-pub struct Crowd {
+pub struct EnginePool {
     shared: Arc<Shared>,
     ports: Vec<u16>,
     over: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Crowd {
+impl EnginePool {
     /// Every statement takes a time drawn from `lasts`.
     pub fn start(
         engines: usize,
         gateways: usize,
-        lasts: RangeInclusive<Duration>,
+        durations: RangeInclusive<Duration>,
         seed: u64,
-    ) -> io::Result<Crowd> {
-        if engines > MOST_ENGINES {
+    ) -> io::Result<EnginePool> {
+        if engines > MAX_ENGINES {
             return Err(io::Error::other(format!("{engines} engines are more than there are addresses for")));
         }
         let sockets: io::Result<Vec<Socket>> = (0..gateways).map(|_| listener()).collect();
@@ -109,14 +109,14 @@
         let ports: io::Result<Vec<u16>> = sockets.iter().map(port_of).collect();
         let ports = ports?;
         let records = Records {
-            lines: vec![vec![Line::default(); engines]; gateways],
-            in_work: vec![0; gateways],
-            most_in_work: vec![0; gateways],
+            engine_records: vec![vec![EngineRecord::default(); engines]; gateways],
+            in_flight: vec![0; gateways],
+            max_in_flight: vec![0; gateways],
             ..Records::default()
         };
         let shared = Arc::new(Shared {
             records: Mutex::new(records),
-            lasts: Mutex::new(lasts),
+            durations: Mutex::new(durations),
             rng: Mutex::new(WyRand::new_seed(seed)),
             engines,
         });
@@ -129,14 +129,14 @@
                 for (gateway, socket) in sockets.into_iter().enumerate() {
                     match TcpListener::from_std(socket.into()) {
                         Ok(listener) => drop(tokio::task::spawn_local(accept(listener, of.clone(), gateway))),
-                        Err(_) => of.records().failed += 1,
+                        Err(_) => of.records().failed_accepts += 1,
                     }
                 }
                 // Dropped is as good as told.
                 let _ = ended.await;
             });
         })?;
-        Ok(Crowd { shared, ports, over: Some(over), thread: Some(thread) })
+        Ok(EnginePool { shared, ports, over: Some(over), thread: Some(thread) })
     }
 
     /// Where a gateway finds an engine.
@@ -144,8 +144,8 @@
         SocketAddr::new(host(engine).into(), self.ports[gateway])
     }
 
-    pub fn set_lasts(&self, lasts: RangeInclusive<Duration>) {
-        *self.shared.lasts.lock().expect("lasts") = lasts;
+    pub fn set_durations(&self, durations: RangeInclusive<Duration>) {
+        *self.shared.durations.lock().expect("lasts") = durations;
     }
 
     pub fn records(&self) -> MutexGuard<'_, Records> {
@@ -153,7 +153,7 @@
     }
 }
 
-impl Drop for Crowd {
+impl Drop for EnginePool {
     fn drop(&mut self) {
         drop(self.over.take());
         if let Some(thread) = self.thread.take() {
@@ -163,12 +163,12 @@
 }
 
 fn host(engine: usize) -> Ipv4Addr {
-    Ipv4Addr::from(FIRST + 1 + engine as u32)
+    Ipv4Addr::from(ADDRESS_BASE + 1 + engine as u32)
 }
 
 fn engine_of(address: SocketAddr) -> Option<usize> {
     match address.ip() {
-        IpAddr::V4(host) => u32::from(host).checked_sub(FIRST + 1).map(|at| at as usize),
+        IpAddr::V4(host) => u32::from(host).checked_sub(ADDRESS_BASE + 1).map(|at| at as usize),
         IpAddr::V6(_) => None,
     }
 }
@@ -192,29 +192,29 @@
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             // For want of descriptors: those in use end by themselves.
-            shared.records().failed += 1;
+            shared.records().failed_accepts += 1;
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
         let engine = stream.local_addr().ok().and_then(engine_of).filter(|at| *at < shared.engines);
         let Some(engine) = engine.filter(|_| from.ip().is_loopback()) else {
-            shared.records().failed += 1;
+            shared.records().failed_accepts += 1;
             continue;
         };
         {
             let mut records = shared.records();
             records.handshakes.push((Instant::now(), gateway));
-            let line = &mut records.lines[gateway][engine];
-            line.opened += 1;
-            line.open += 1;
-            line.most_open = line.most_open.max(line.open);
+            let record = &mut records.engine_records[gateway][engine];
+            record.opened += 1;
+            record.open += 1;
+            record.max_open = record.max_open.max(record.open);
         }
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
             // Broken off or not: the gateway's side of the connection is what is recorded.
             let _ = serve(&stream, &shared, gateway, engine).await;
-            shared.records().lines[gateway][engine].open -= 1;
+            shared.records().engine_records[gateway][engine].open -= 1;
         });
     }
 }
@@ -222,12 +222,12 @@
 async fn serve(stream: &TcpStream, shared: &Shared, gateway: usize, engine: usize) -> io::Result<()> {
     let mut bytes = Vec::new();
     loop {
-        let Some((call, used)) = whole(&bytes) else {
+        let Some((call, used)) = parse_call(&bytes) else {
             stream.readable().await?;
             let mut piece = [0; 4096];
             match stream.try_read(&mut piece) {
                 Ok(0) => return Ok(()),
-                Ok(_) if bytes.len() > LONGEST => return Ok(()),
+                Ok(_) if bytes.len() > MAX_CALL_BYTES => return Ok(()),
                 Ok(count) => bytes.extend_from_slice(&piece[..count]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(error),
@@ -255,7 +255,7 @@
 }
 
 /// The first call, once all of it is here, and its length.
-fn whole(bytes: &[u8]) -> Option<(Call, usize)> {
+fn parse_call(bytes: &[u8]) -> Option<(Call, usize)> {
     // What is read of a head that has not ended would pass for all of it.
     bytes.windows(4).any(|end| end == b"\r\n\r\n").then_some(())?;
     let mut rest = bytes;
@@ -271,20 +271,20 @@
 }
 
 /// While it lives, a gateway has one statement more in work.
-struct InWork<'a>(&'a Shared, usize);
+struct InFlight<'a>(&'a Shared, usize);
 
-impl<'a> InWork<'a> {
-    fn new(shared: &'a Shared, gateway: usize) -> InWork<'a> {
+impl<'a> InFlight<'a> {
+    fn new(shared: &'a Shared, gateway: usize) -> InFlight<'a> {
         let records = &mut *shared.records();
-        records.in_work[gateway] += 1;
-        records.most_in_work[gateway] = records.most_in_work[gateway].max(records.in_work[gateway]);
-        InWork(shared, gateway)
+        records.in_flight[gateway] += 1;
+        records.max_in_flight[gateway] = records.max_in_flight[gateway].max(records.in_flight[gateway]);
+        InFlight(shared, gateway)
     }
 }
 
-impl Drop for InWork<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        self.0.records().in_work[self.1] -= 1;
+        self.0.records().in_flight[self.1] -= 1;
     }
 }
 
@@ -295,13 +295,13 @@
     engine: usize,
 ) -> (u16, &'static str, &'static [u8]) {
     let began = Instant::now();
-    let _in_work = (call.method == "POST").then(|| InWork::new(shared, gateway));
+    let _in_work = (call.method == "POST").then(|| InFlight::new(shared, gateway));
     match call.method.as_str() {
         "POST" => {
-            let due = began + shared.drawn();
+            let due = began + shared.draw_duration();
             let mut records = shared.records();
-            records.lines[gateway][engine].statements += 1;
-            *records.begun.entry(call.id.clone()).or_default() += 1;
+            records.engine_records[gateway][engine].statements += 1;
+            *records.started.entry(call.id.clone()).or_default() += 1;
             records.due.insert(call.id.clone(), due);
         }
         "DELETE" => {
@@ -311,7 +311,7 @@
         _ => {}
     }
     let Some(due) = shared.records().due.get(&call.id).copied() else { return (500, "", b"") };
-    tokio::time::sleep_until(due.min(began + NEWS).into()).await;
+    tokio::time::sleep_until(due.min(began + POLL_TIMEOUT).into()).await;
     if Instant::now() >= due {
         return (200, "Page-Count: 1\r\n", b"well\t1\tx\n");
     }
--- a/crates/standins/src/works.rs
+++ b/crates/standins/src/timed_engine.rs
@@ -9,78 +9,78 @@
 use std::time::{Duration, Instant};
 
 /// An engine answers within this, if only that there is no news.
-const NEWS: Duration = Duration::from_millis(250);
+const POLL_TIMEOUT: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct RecordedExecution {
     pub id: String,
     pub began: Instant,
     /// How long it takes on the engine, if nothing ends it before.
-    pub lasts: Duration,
+    pub duration: Duration,
     pub deleted: Option<Instant>,
     /// When it was last asked for, its beginning included.
-    pub asked: Instant,
+    pub last_polled: Instant,
 }
 
-impl Ran {
+impl RecordedExecution {
     /// When it was over, on an engine that goes on for `keep` with what nobody asks for.
-    pub fn ended(&self, keep: Duration) -> Instant {
-        let done = self.began + self.lasts;
-        self.deleted.unwrap_or(done).min(done).min(self.asked + keep)
+    pub fn ended(&self, orphan_retention: Duration) -> Instant {
+        let done = self.began + self.duration;
+        self.deleted.unwrap_or(done).min(done).min(self.last_polled + orphan_retention)
     }
 }
 
 #[derive(Default)]
 struct State {
-    ran: Vec<Ran>,
+    executions: Vec<RecordedExecution>,
     /// Of each id, the execution that runs or ran last.
     last: HashMap<String, usize>,
-    lasts: Duration,
+    duration: Duration,
 }
 
-pub struct Works {
+pub struct TimedEngine {
     pub address: SocketAddr,
-    pub keep: Duration,
+    pub orphan_retention: Duration,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
-impl Works {
+impl TimedEngine {
     /// Every statement takes `lasts`.
-    pub fn start(lasts: Duration, keep: Duration) -> Works {
+    pub fn start(duration: Duration, orphan_retention: Duration) -> TimedEngine {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let state = Arc::new((Mutex::new(State { lasts, ..State::default() }), Condvar::new()));
+        let state = Arc::new((Mutex::new(State { duration, ..State::default() }), Condvar::new()));
         let of = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let state = of.clone();
-                std::thread::spawn(move || serve(&stream, &state, keep));
+                std::thread::spawn(move || serve(&stream, &state, orphan_retention));
             }
         });
-        Works { address, keep, state }
+        TimedEngine { address, orphan_retention, state }
     }
 
-    pub fn set_lasts(&self, lasts: Duration) {
-        self.state.0.lock().expect("state").lasts = lasts;
+    pub fn set_duration(&self, duration: Duration) {
+        self.state.0.lock().expect("state").duration = duration;
     }
 
     /// All that ran so far.
-    pub fn ran(&self) -> Vec<Ran> {
-        self.state.0.lock().expect("state").ran.clone()
+    pub fn executions(&self) -> Vec<RecordedExecution> {
+        self.state.0.lock().expect("state").executions.clone()
     }
 
-    pub fn begun(&self) -> usize {
-        self.state.0.lock().expect("state").ran.len()
+    pub fn started_count(&self) -> usize {
+        self.state.0.lock().expect("state").executions.len()
     }
 }
 
 /// The most that ran at once, over all engines, and when.
-pub fn most_at_once<'a>(engines: impl Iterator<Item = &'a Works>) -> (usize, Option<Instant>) {
+pub fn max_concurrent<'a>(engines: impl Iterator<Item = &'a TimedEngine>) -> (usize, Option<Instant>) {
     let mut edges = Vec::new();
     for engine in engines {
-        for ran in engine.ran() {
-            edges.push((ran.began, 1));
-            edges.push((ran.ended(engine.keep), -1));
+        for executions in engine.executions() {
+            edges.push((executions.began, 1));
+            edges.push((executions.ended(engine.orphan_retention), -1));
         }
     }
     // What ends as another begins is over before.
@@ -95,7 +95,7 @@
     (most as usize, at)
 }
 
-fn serve(stream: &TcpStream, state: &(Mutex<State>, Condvar), keep: Duration) {
+fn serve(stream: &TcpStream, state: &(Mutex<State>, Condvar), orphan_retention: Duration) {
     let _ = stream.set_nodelay(true);
     let Ok(read) = stream.try_clone() else { return };
     let (mut read, mut write) = (BufReader::new(read), stream);
@@ -109,21 +109,27 @@
         let (status, fields, body): (u16, &str, &[u8]) = match method {
             "POST" => {
                 let mut now = state.0.lock().expect("state");
-                let (began, lasts, at) = (Instant::now(), now.lasts, now.ran.len());
-                now.ran.push(Ran { id: id.clone(), began, lasts, deleted: None, asked: began });
+                let (began, duration, at) = (Instant::now(), now.duration, now.executions.len());
+                now.executions.push(RecordedExecution {
+                    id: id.clone(),
+                    began,
+                    duration,
+                    deleted: None,
+                    last_polled: began,
+                });
                 now.last.insert(id.clone(), at);
                 drop(now);
-                news(&id, state, keep)
+                poll(&id, state, orphan_retention)
             }
             "DELETE" => {
                 let mut now = state.0.lock().expect("state");
                 if let Some(at) = now.last.get(&id).copied() {
-                    let ran = &mut now.ran[at];
-                    ran.deleted = ran.deleted.or(Some(Instant::now()));
+                    let executions = &mut now.executions[at];
+                    executions.deleted = executions.deleted.or(Some(Instant::now()));
                 }
                 (204, "", b"")
             }
-            _ => news(&id, state, keep),
+            _ => poll(&id, state, orphan_retention),
         };
         let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{fields}\r\n", body.len());
         if write.write_all(&[head.as_bytes(), body].concat()).is_err() {
@@ -133,26 +139,30 @@
 }
 
 /// Its end, or after a while that there is no news.
-fn news(id: &str, state: &(Mutex<State>, Condvar), keep: Duration) -> (u16, &'static str, &'static [u8]) {
-    let gives_up = Instant::now() + NEWS;
+fn poll(
+    id: &str,
+    state: &(Mutex<State>, Condvar),
+    orphan_retention: Duration,
+) -> (u16, &'static str, &'static [u8]) {
+    let poll_deadline = Instant::now() + POLL_TIMEOUT;
     let mut now = state.0.lock().expect("state");
     loop {
         let Some(at) = now.last.get(id).copied() else { return (500, "", b"") };
-        let ran = &mut now.ran[at];
+        let executions = &mut now.executions[at];
         let moment = Instant::now();
-        if ran.deleted.is_some() || moment > ran.asked + keep {
+        if executions.deleted.is_some() || moment > executions.last_polled + orphan_retention {
             return (500, "", b"");
         }
         // Whoever waits here asks for it all the time.
-        ran.asked = moment;
-        let done = ran.began + ran.lasts;
+        executions.last_polled = moment;
+        let done = executions.began + executions.duration;
         if moment >= done {
             return (200, "Page-Count: 1\r\n", b"well\t1\tx\n");
         }
-        if moment >= gives_up {
+        if moment >= poll_deadline {
             return (202, "", b"");
         }
-        let wait = done.min(gives_up).saturating_duration_since(moment);
+        let wait = done.min(poll_deadline).saturating_duration_since(moment);
         now = state.1.wait_timeout(now, wait).expect("state").0;
     }
 }
