--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,9 +1,9 @@
 //! Runs the gateway on one thread: startup, the effects that the reducer asks for, reloads and shutdown.
 
-use crate::config::{self, AtStart, Bounds, Start};
+use crate::config::{self, Bounds, RestartOnlySettings, Start};
 use crate::connection::Connections;
 use crate::engines::{Engines, Heard, Job, May};
-use crate::fleet::{machine_time, Link};
+use crate::fleet::{boottime_now, Link};
 use crate::frontend::Frontend;
 use crate::invariants::Invariant;
 use crate::names::{Asker, Known, Word};
@@ -151,7 +151,7 @@
     engines: Engines,
     peers: Option<Peers>,
     fleet: Option<Link>,
-    policy: Option<policy::Disk>,
+    policy: Option<policy::PolicyFileWriter>,
     /// File that records which executions are in flight at engines.
     record: Option<RecordFile>,
     ignored_name_answers: Rc<Cell<u64>>,
@@ -214,8 +214,8 @@
         if let Some(link) = &self.fleet {
             // Facts are written before any effect that rests on the current state.
             let (now, mut reducer) = (self.clock.now(), self.reducer.borrow_mut());
-            let fact = reducer.policy().filter(|_| link.wants_facts()).map(|policy| policy.fact(now));
-            reducer.fleet().into_iter().for_each(|node| link.note(now, node, fact.as_ref()));
+            let fact = reducer.policy().filter(|_| link.has_facts_file()).map(|policy| policy.fact(now));
+            reducer.fleet().into_iter().for_each(|node| link.record_facts(now, node, fact.as_ref()));
         }
         effects.into_iter().for_each(|effect| self.run_effect(effect));
         self.faults.get() == faults
@@ -348,7 +348,8 @@
                 });
             }
             Effect::Keep { generation, bytes } => {
-                let outcome = self.policy.as_ref().map_or(Some(true), |disk| disk.keep(generation, bytes));
+                let outcome =
+                    self.policy.as_ref().map_or(Some(true), |disk| disk.write_state(generation, bytes));
                 if let Some(well) = outcome {
                     // In a task of its own, so that the remaining effects of this input come first.
                     let core = self.clone();
@@ -357,7 +358,7 @@
             }
             Effect::Say { to, envelope } => {
                 if let Some(link) = &self.fleet {
-                    link.say(&to, &envelope);
+                    link.send(&to, &envelope);
                 }
             }
             Effect::Tell { to, message } => {
@@ -393,14 +394,14 @@
     /// Passes on the messages of the fleet.
     async fn receive_from_fleet(self: Rc<Self>) {
         while let Some(link) = &self.fleet {
-            let (envelope, from) = link.hear().await;
+            let (envelope, from) = link.receive().await;
             self.input(Input::Fleet(envelope, from));
         }
     }
 
     /// Writes the status file for operators, where one is configured.
     fn write_status(&self) {
-        let Some(link) = self.fleet.as_ref().filter(|link| link.wants_status()) else { return };
+        let Some(link) = self.fleet.as_ref().filter(|link| link.has_status_file()) else { return };
         let now = self.clock.now();
         let mut reducer = self.reducer.borrow_mut();
         let policy = reducer.policy().map(|policy| policy.status(now));
@@ -504,7 +505,7 @@
     address: SocketAddr,
     statement_time: Duration,
     /// Settings that only change with a restart.
-    at_start: AtStart,
+    at_start: RestartOnlySettings,
     bodies: Bodies,
     spool_directory: Option<Arc<SpoolDirectory>>,
     fleet: (Option<operators::Fleet>, BTreeMap<String, operators::Budget>),
@@ -555,17 +556,18 @@
                 Some(link.map_err(|e| with_address("fleet", &terms.listen, e))?)
             }
         };
-        let asker = Asker::start(start.names, start.known.no, start.seed, log.clone())?;
-        let in_force = RefCell::new((start.names, start.peers.clone()));
-        let source = start.fleet.is_some().then(|| clock.unwrap_or_else(|| Rc::new(machine_time)));
+        let asker = Asker::start(start.name_service, start.cached_engines.no, start.seed, log.clone())?;
+        let in_force = RefCell::new((start.name_service, start.peers.clone()));
+        let source = start.fleet.is_some().then(|| clock.unwrap_or_else(|| Rc::new(boottime_now)));
         let clock = Clock::new(source);
         let (one_at_a_time, idle) = (!start.site.concurrent_executions, start.engine_idle);
-        let (bounds, names) = (start.bounds.clone(), start.words.clone());
+        let (bounds, names) = (start.bounds.clone(), start.site_names.clone());
         let engines = Engines::new(bounds, names, start.dial_timeout, idle, one_at_a_time);
         let deduplicated = |w: &WorkloadConfig| matches!(w.effect, Repeat::Deduplicated(_));
         let requires_key = start.site.workloads.iter().map(deduplicated).collect();
         let (bodies, spool_directory) = open_body_store(&start.operators.bodies, disk, &log)?;
-        let strict = start.words.workloads.iter().map(|w| start.operators.bodies.is_strict(w)).collect();
+        let strict =
+            start.site_names.workloads.iter().map(|w| start.operators.bodies.rejects_not_kept(w)).collect();
         let (min_bytes_per_second, retry_after) =
             (start.operators.bodies.slowest.as_u64(), start.site.max_retry_after);
         let policy_terms = start.fleet.as_ref().and_then(|terms| terms.policy.clone());
@@ -574,7 +576,7 @@
                 if let Some(fault) = &terms.fault {
                     slog::error!(log, "what was kept of the policy is not read"; "fault" => fault);
                 }
-                let (disk, writes) = policy::Disk::start(terms.file.clone())?;
+                let (disk, writes) = policy::PolicyFileWriter::start(terms.file.clone())?;
                 (Some(disk), Some(writes))
             }
             None => (None, None),
@@ -613,8 +615,8 @@
             reducer: RefCell::new(reducer),
             clock,
             bounds: start.bounds,
-            names: start.words,
-            max_client_waits: start.longest,
+            names: start.site_names,
+            max_client_waits: start.deadlines,
             requires_key,
             strict,
             min_bytes_per_second,
@@ -642,8 +644,8 @@
             closed: Cell::new(false),
         });
         first_effects.into_iter().for_each(|effect| core.run_effect(effect));
-        core.input(Input::Engines(ListKind::Cached, start.known.list));
-        if start.names.is_some() {
+        core.input(Input::Engines(ListKind::Cached, start.cached_engines.list));
+        if start.name_service.is_some() {
             // The list in the configuration counts as confirmed at the start.
             core.input(Input::ListAsked(Some(core.clock.now())));
         }
@@ -691,7 +693,7 @@
                 }
             }
         }));
-        let (statement_time, at_start) = (start.leave_within, start.at_start);
+        let (statement_time, at_start) = (start.shutdown_timeout, start.restart_only);
         let (bodies, fleet) = (start.operators.bodies, (start.operators.fleet, start.operators.budget));
         Ok(Gateway {
             core,
@@ -715,10 +717,10 @@
         let mut in_force = self.in_force.borrow_mut();
         let (names, peers) = &*in_force;
         let mut pending_reload = self.core.pending_reload.borrow_mut();
-        if start.names != *names {
-            pending_reload.names = Some(start.names);
+        if start.name_service != *names {
+            pending_reload.names = Some(start.name_service);
         }
-        let mut waits_for_restart = self.at_start.changed(&start.at_start);
+        let mut waits_for_restart = self.at_start.changed(&start.restart_only);
         // Whether gossip is exchanged at all is fixed at the start.
         if peers.is_some() != start.peers.is_some() && !waits_for_restart.contains(&"peer_listen") {
             waits_for_restart.push("peers");
@@ -726,7 +728,7 @@
         // The limits of the body store change at once; its directory and threads change with a restart.
         let bodies = &start.operators.bodies;
         self.core.bodies.set_bounds(bodies.bounds());
-        if self.bodies != *bodies && !self.bodies.is_alike(bodies) {
+        if self.bodies != *bodies && !self.bodies.is_unchanged_until_restart(bodies) {
             waits_for_restart.push("bodies");
         }
         if self.fleet != (start.operators.fleet, start.operators.budget) {
@@ -735,10 +737,10 @@
         if let (Some(running), Some(peers)) = (&self.core.peers, &start.peers) {
             running.turn_to(peers.clone());
         }
-        slog::info!(log, "configuration reloaded"; "names" => ?start.names, "known" => start.known.no,
+        slog::info!(log, "configuration reloaded"; "names" => ?start.name_service, "known" => start.cached_engines.no,
             "waits_for_restart" => ?waits_for_restart);
-        *in_force = (start.names, start.peers);
-        pending_reload.known = Some(start.known);
+        *in_force = (start.name_service, start.peers);
+        pending_reload.known = Some(start.cached_engines);
         self.core.reloaded.notify_one();
     }
 
@@ -842,7 +844,7 @@
     disk: Option<Arc<dyn Disk>>,
     log: &Logger,
 ) -> io::Result<(Rc<BodyStore>, Option<Arc<SpoolDirectory>>)> {
-    let files = bodies.files.as_ref().filter(|_| bodies.is_on());
+    let files = bodies.files.as_ref().filter(|_| bodies.is_enabled());
     let threads = files.map(|files| -> io::Result<_> {
         if let Some(disk) = disk {
             return Ok((None, IoThreads::start(disk, files.threads, files.zstd)?));
