--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -63,7 +63,7 @@
                 "{}: {} workloads, {} engines known",
                 start.name,
                 start.site.workloads.len(),
-                start.known.list.len()
+                start.known.engines.len()
             );
         }),
         Command::Version => {
--- a/crates/gateway/src/closes.rs
+++ b/crates/gateway/src/closes.rs
@@ -33,12 +33,12 @@
 
 /// Connections closed since the start, by reason.
 #[derive(Debug, Default)]
-pub struct Closes {
+pub struct CloseCounts {
     by_reason: [Cell<u64>; ALL.len()],
     unanswered: Cell<u64>,
 }
 
-impl Closes {
+impl CloseCounts {
     pub fn count(&self, reason: CloseReason) {
         let count = &self.by_reason[reason as usize];
         count.set(count.get() + 1);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,6 +1,6 @@
 //! The one place where the configuration is read, checked and given defaults. Each message names the key.
 
-use crate::names::{known, Known};
+use crate::discovery::{read_configured_list, EngineSnapshot};
 use crate::operators::{self, FleetTerms, Operators, ORDINARY};
 use bramblewharf::interface::Site;
 use bramblewharf_site::Names;
@@ -42,7 +42,7 @@
     pub bounds: Bounds,
     pub peers: Option<Peers>,
     pub names: Option<SocketAddr>,
-    pub known: Known,
+    pub known: EngineSnapshot,
     pub site: Site,
     pub words: Names,
     /// Connections to engines: not established by then, never; closed by the engine after idling so long.
@@ -207,8 +207,8 @@
         seed,
     })?;
     let known = match value.get("known") {
-        None | Some(Value::Null) => Known { no: 0, list: Vec::new() },
-        Some(value) => known(value)?,
+        None | Some(Value::Null) => EngineSnapshot { serial: 0, engines: Vec::new() },
+        Some(value) => read_configured_list(value)?,
     };
     Ok(Start {
         name,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,7 +1,7 @@
 //! A TCP connection that is closed once it has stood idle for too long, whoever holds it: guards against silent
 //! machines that would hold descriptors, and against pooled connections that the other end closes first.
 
-use crate::closes::{CloseReason, Closes};
+use crate::closes::{CloseCounts, CloseReason};
 use crate::exchange::Exchange;
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use actix_rt::time::{sleep, timeout};
@@ -57,7 +57,7 @@
     /// More waits to be read than may be while a call is open: its end can't be read either.
     held_back: Cell<bool>,
     linger: Rc<Linger>,
-    closes: Rc<Closes>,
+    close_counts: Rc<CloseCounts>,
 }
 
 /// How far the head of a call has come.
@@ -93,7 +93,7 @@
 
 impl Connection {
     /// A request is open on it, and so much more may be read. Tells when it began to come.
-    pub fn open(&self, allowed: usize) -> Instant {
+    pub fn begin_call(&self, allowed: usize) -> Instant {
         let idle = self.idle.take().unwrap_or_else(Instant::now);
         let first = self.calls.replace(self.calls.get() + 1) == 0;
         let begun = self.begun.take().filter(|_| !first).unwrap_or(if first { idle } else { Instant::now() });
@@ -106,18 +106,18 @@
     }
 
     /// So much more of the call that is open may be read.
-    pub fn allow(&self, allowed: usize) {
+    pub fn set_read_allowance(&self, allowed: usize) {
         self.allowed.set(allowed);
     }
 
     /// The call is here whole: what comes now belongs to the next, and no more than so much of it is read yet.
-    pub fn has_come(&self, allowed: usize) {
+    pub fn call_received(&self, allowed: usize) {
         self.allowed.set(allowed);
         self.ahead.set(false);
     }
 
     /// No request is open on it any longer, and its answer is on the way.
-    pub fn rest(&self) {
+    pub fn end_call(&self) {
         self.idle.set(Some(Instant::now()));
         if self.ahead.get() {
             self.begun.set(Some(Instant::now()));
@@ -127,16 +127,16 @@
     }
 
     /// The call that is open is refused, and the connection with it.
-    pub fn condemn(&self) {
+    pub fn refuse_further_calls(&self) {
         self.condemned.set(true);
         self.allowed.set(AFTER_REFUSAL);
     }
 
-    pub fn is_condemned(&self) -> bool {
+    pub fn is_refused(&self) -> bool {
         self.condemned.get()
     }
 
-    pub fn is_odd(&self) -> bool {
+    pub fn has_bare_line_feed(&self) -> bool {
         self.ends.get() == Ends::Odd
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Returns once the other end sends no more.
-    pub async fn ended(&self) {
+    pub async fn wait_for_end(&self) {
         while !self.ended.get() {
             if !self.held_back.get() {
                 self.end.notified().await;
@@ -188,7 +188,7 @@
     }
 
     /// A call is about to be written to an engine.
-    pub fn ask(&self) {
+    pub fn prepare_send(&self) {
         self.sent.set(false);
         self.asked.set(Some(Instant::now()));
     }
@@ -208,12 +208,12 @@
         Ok(())
     }
 
-    pub fn sent(&self) -> bool {
+    pub fn has_sent(&self) -> bool {
         self.sent.get()
     }
 
     /// Whether the engine's answer is here though the call has not come whole; from then on nothing more of that is written.
-    pub fn answers_early(&self) -> bool {
+    pub fn check_early_answer(&self) -> bool {
         let early = self.stream.borrow().as_ref().is_some_and(has_answer);
         if early {
             self.early.set(true);
@@ -223,7 +223,7 @@
     }
 
     /// Is here still, and showed nothing irregular: it may carry another call.
-    pub fn is_free(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.stream.borrow().is_some() && self.exchange.as_ref().is_some_and(|x| x.borrow().is_free())
     }
 
@@ -276,7 +276,7 @@
     }
 
     /// A call has begun to come on it in this moment, and is not read yet.
-    pub fn has_next(&self) -> bool {
+    pub fn has_pending_input(&self) -> bool {
         let rests = !self.condemned.get() && self.begun.get().is_none();
         rests && self.stream.borrow().as_ref().is_some_and(|stream| !is_quiet(stream))
     }
@@ -308,18 +308,18 @@
     }
 
     /// The connection itself; whoever still holds the line finds it closed.
-    pub fn take(&self) -> Option<TcpStream> {
+    pub fn take_stream(&self) -> Option<TcpStream> {
         self.stream.borrow_mut().take()
     }
 
     /// Nothing more is read that could be carried out. A client's may have sent something in this very moment.
     pub fn close(&self, reason: CloseReason) {
         if let Some(stream) = self.stream.borrow_mut().take() {
-            self.closes.count(reason);
+            self.close_counts.count(reason);
             // The run-time check on closing: whoever closes for a reason of this side's must leave an open call alone.
             let open = self.exchange.is_none() && self.idle.get().is_none() && !self.ended.get();
             if open && reason != CloseReason::Done && !self.shut.get() && !self.condemned.get() {
-                self.closes.count_unanswered();
+                self.close_counts.count_unanswered();
             }
             match &self.exchange {
                 None if !self.ended.get() && !self.shut.get() => self.linger.take(stream),
@@ -469,16 +469,16 @@
 /// Of what an engine sent, held at most before it is handed on.
 const HELD: usize = 16 * 1024;
 
-pub struct Stream(pub Rc<Connection>);
+pub struct TrackedStream(pub Rc<Connection>);
 
 /// Whoever else still knows of the connection, it is closed with this.
-impl Drop for Stream {
+impl Drop for TrackedStream {
     fn drop(&mut self) {
         self.0.close(CloseReason::Done);
     }
 }
 
-impl fmt::Debug for Stream {
+impl fmt::Debug for TrackedStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Stream")
     }
@@ -491,7 +491,7 @@
 pub struct Connections {
     connections: RefCell<Vec<Weak<Connection>>>,
     pub linger: Rc<Linger>,
-    pub closes: Rc<Closes>,
+    pub close_counts: Rc<CloseCounts>,
     /// Of clients: how long the head of a call may take to come.
     head_within: Duration,
     idle: Duration,
@@ -501,31 +501,31 @@
 
 impl Connections {
     /// `most`: those that are let go at once.
-    pub fn of_clients(most: usize, head_within: Duration, idle: Duration) -> Connections {
+    pub fn for_clients(most: usize, head_within: Duration, idle: Duration) -> Connections {
         let linger = Linger::new(most);
         Connections {
             connections: RefCell::default(),
             linger,
-            closes: Rc::default(),
+            close_counts: Rc::default(),
             head_within,
             idle,
             answer: None,
         }
     }
 
-    pub fn of_engines(answer: usize, idle: Duration) -> Connections {
+    pub fn for_engines(answer: usize, idle: Duration) -> Connections {
         let linger = Linger::new(0);
         Connections {
             connections: RefCell::default(),
             linger,
-            closes: Rc::default(),
+            close_counts: Rc::default(),
             head_within: idle,
             idle,
             answer: Some(answer),
         }
     }
 
-    pub fn link(&self, stream: TcpStream) -> Stream {
+    pub fn track(&self, stream: TcpStream) -> TrackedStream {
         // Without it an answer of several segments waits for acknowledgements.
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(Connection {
@@ -550,17 +550,17 @@
             holds: Cell::new(false),
             held_back: Cell::new(false),
             linger: self.linger.clone(),
-            closes: self.closes.clone(),
+            close_counts: self.close_counts.clone(),
         });
         self.connections.borrow_mut().push(Rc::downgrade(&connection));
-        Stream(connection)
+        TrackedStream(connection)
     }
 
     /// Closes what has been idle for too long; to be called now and then. What has just come is read first.
-    pub fn sweep(&self) {
+    pub fn close_idle(&self) {
         for connection in self.live() {
             if let Some(reason) = connection.is_overdue(self.head_within, self.idle) {
-                if !connection.has_next() {
+                if !connection.has_pending_input() {
                     connection.close(reason);
                 }
             }
@@ -570,14 +570,14 @@
 
     /// Closes one that no call is open on: one that was refused, or else the oldest that has asked nothing, if for
     /// `settled`; or else the one that has asked and rested longest, if for `rested`. False where there is none such.
-    pub fn close_least_used(&self, settled: Duration, rested: Duration) -> bool {
+    pub fn close_one_idle(&self, settled: Duration, rested: Duration) -> bool {
         let idle =
             self.live().into_iter().filter_map(|connection| Some((connection.idle_for()?, connection)));
         let rank = |connection: &Connection| (connection.condemned.get(), connection.calls.get() == 0);
         let old = idle.filter(|(idle, connection)| {
             *idle >= if rank(connection) == (false, false) { rested } else { settled }
         });
-        let old = old.filter(|(_, connection)| !connection.has_next());
+        let old = old.filter(|(_, connection)| !connection.has_pending_input());
         match old.max_by_key(|(idle, connection)| (rank(connection), *idle)) {
             Some((_, connection)) => connection.close(CloseReason::AtBound),
             None => return false,
@@ -590,7 +590,7 @@
     }
 
     /// Lets all go at once: no new ones come that would need their descriptors.
-    pub fn part_from_all(&self) {
+    pub fn close_all_at_shutdown(&self) {
         self.linger.most.set(usize::MAX);
         self.close_all();
     }
@@ -614,7 +614,7 @@
     }
 }
 
-impl AsyncRead for Stream {
+impl AsyncRead for TrackedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let connection = &self.0;
         let bounded = connection.idle.get().is_none() || connection.condemned.get();
@@ -656,7 +656,7 @@
     }
 }
 
-impl AsyncWrite for Stream {
+impl AsyncWrite for TrackedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let connection = &self.0;
         connection.hear();
@@ -723,7 +723,7 @@
     }
 }
 
-impl ActixStream for Stream {
+impl ActixStream for TrackedStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         match self.0.stream.borrow().as_ref() {
             Some(stream) => ActixStream::poll_read_ready(stream, cx),
--- a/crates/gateway/src/connection/tests.rs
+++ b/crates/gateway/src/connection/tests.rs
@@ -5,35 +5,35 @@
 const LONG: Duration = Duration::from_secs(60);
 
 /// The other end of a new link, and the link.
-async fn pair(connections: &Connections) -> (TcpStream, Stream) {
+async fn pair(connections: &Connections) -> (TcpStream, TrackedStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let there = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    (there, connections.link(listener.accept().await.unwrap().0))
+    (there, connections.track(listener.accept().await.unwrap().0))
 }
 
 #[actix_rt::test]
 async fn what_is_idle_is_closed_and_its_reader_woken_and_what_is_open_is_not() {
-    let connections = Connections::of_clients(4, Duration::ZERO, Duration::ZERO);
+    let connections = Connections::for_clients(4, Duration::ZERO, Duration::ZERO);
     let (mut there, mut idle) = pair(&connections).await;
     let (_busy_there, busy) = pair(&connections).await;
-    busy.0.open(10);
+    busy.0.begin_call(10);
     let reader = actix_rt::spawn(async move { idle.read(&mut [0; 8]).await });
     tokio::task::yield_now().await;
-    connections.sweep();
+    connections.close_idle();
     assert_eq!(reader.await.unwrap().unwrap(), 0);
     assert_eq!(there.read(&mut [0; 8]).await.unwrap(), 0);
     assert_eq!(connections.count(), 1);
-    assert!(!connections.close_least_used(Duration::ZERO, Duration::ZERO));
-    busy.0.rest();
-    connections.sweep();
+    assert!(!connections.close_one_idle(Duration::ZERO, Duration::ZERO));
+    busy.0.end_call();
+    connections.close_idle();
     assert_eq!(connections.count(), 0);
 }
 
 #[actix_rt::test]
 async fn no_more_is_read_ahead_than_allowed_while_a_call_is_open() {
-    let connections = Connections::of_clients(4, LONG, LONG);
+    let connections = Connections::for_clients(4, LONG, LONG);
     let (there, mut link) = pair(&connections).await;
-    link.0.open(4);
+    link.0.begin_call(4);
     there.writable().await.unwrap();
     assert_eq!(there.try_write(b"12345678").unwrap(), 8);
     let connection = link.0.clone();
@@ -48,7 +48,7 @@
     }
     tokio::task::yield_now().await;
     assert!(!reader.is_finished());
-    connection.rest();
+    connection.end_call();
     assert_eq!(&reader.await.unwrap(), b"5678");
 }
 
@@ -56,12 +56,12 @@
 #[actix_rt::test]
 async fn a_call_goes_out_on_a_quiet_connection_only() {
     use tokio::io::AsyncWriteExt as _;
-    let connections = Connections::of_engines(100, LONG);
+    let connections = Connections::for_engines(100, LONG);
     let (mut there, mut quiet) = pair(&connections).await;
     quiet.write_all(b"call").await.unwrap();
     let mut bytes = [0; 4];
     there.read_exact(&mut bytes).await.unwrap();
-    assert!(&bytes == b"call" && quiet.0.sent() && !quiet.0.is_free());
+    assert!(&bytes == b"call" && quiet.0.has_sent() && !quiet.0.is_reusable());
     quiet.0.close(CloseReason::Done);
     assert!(quiet.read(&mut bytes).await.is_err());
     for ended in [true, false] {
@@ -73,7 +73,7 @@
         while is_quiet(link.0.stream.borrow().as_ref().unwrap()) {
             tokio::task::yield_now().await;
         }
-        assert!(link.write_all(b"call").await.is_err() && !link.0.sent() && !link.0.is_free());
+        assert!(link.write_all(b"call").await.is_err() && !link.0.has_sent() && !link.0.is_reusable());
     }
 }
 
@@ -81,17 +81,17 @@
 #[actix_rt::test]
 async fn a_call_whose_first_byte_is_late_is_not_written() {
     use tokio::io::AsyncWriteExt as _;
-    let connections = Connections::of_engines(100, LONG);
+    let connections = Connections::for_engines(100, LONG);
     let (mut there, mut link) = pair(&connections).await;
-    link.0.ask();
+    link.0.prepare_send();
     link.0.asked.set(Instant::now().checked_sub(FIRST_BYTE_WITHIN + Duration::from_millis(1)));
-    assert!(link.write_all(b"call").await.is_err() && link.0.was_late() && !link.0.sent());
+    assert!(link.write_all(b"call").await.is_err() && link.0.was_late() && !link.0.has_sent());
     drop(link);
     let mut bytes = [0; 4];
     assert_eq!(there.read(&mut bytes).await.unwrap(), 0);
     // Once its first byte is out the rest may take its time.
     let (mut there, mut link) = pair(&connections).await;
-    link.0.ask();
+    link.0.prepare_send();
     link.write_all(b"ca").await.unwrap();
     link.0.asked.set(Instant::now().checked_sub(LONG));
     link.write_all(b"ll").await.unwrap();
@@ -104,7 +104,7 @@
 #[actix_rt::test]
 async fn a_connection_is_let_go_without_a_reset_over_unread_bytes() {
     use tokio::io::AsyncWriteExt as _;
-    let connections = Connections::of_clients(4, LONG, LONG);
+    let connections = Connections::for_clients(4, LONG, LONG);
     let linger = connections.linger.clone();
     actix_rt::spawn(async move { linger.run().await });
     let (mut there, mut link) = pair(&connections).await;
@@ -137,23 +137,23 @@
 #[actix_rt::test]
 async fn a_call_that_comes_in_the_moment_of_the_close_is_read() {
     use tokio::io::AsyncWriteExt as _;
-    let connections = Connections::of_clients(4, Duration::ZERO, Duration::ZERO);
+    let connections = Connections::for_clients(4, Duration::ZERO, Duration::ZERO);
     let (mut there, link) = pair(&connections).await;
-    link.0.open(10);
-    link.0.rest();
+    link.0.begin_call(10);
+    link.0.end_call();
     there.write_all(b"POST").await.unwrap();
     while is_quiet(link.0.stream.borrow().as_ref().unwrap()) {
         tokio::task::yield_now().await;
     }
-    connections.sweep();
-    assert!(!connections.close_least_used(Duration::ZERO, Duration::ZERO));
+    connections.close_idle();
+    assert!(!connections.close_one_idle(Duration::ZERO, Duration::ZERO));
     assert_eq!(connections.count(), 1);
 }
 
 /// Small writes are never held back by the system: a close over unread bytes would take them with it.
 #[actix_rt::test]
 async fn nothing_is_held_back_on_either_side() {
-    for connections in [Connections::of_clients(4, LONG, LONG), Connections::of_engines(100, LONG)] {
+    for connections in [Connections::for_clients(4, LONG, LONG), Connections::for_engines(100, LONG)] {
         let (_there, link) = pair(&connections).await;
         assert!(link.0.stream.borrow().as_ref().unwrap().nodelay().unwrap());
     }
@@ -163,11 +163,11 @@
 #[actix_rt::test]
 async fn a_connection_that_is_held_back_is_looked_at_now_and_then() {
     use std::future::Future as _;
-    let connections = Connections::of_clients(4, LONG, LONG);
+    let connections = Connections::for_clients(4, LONG, LONG);
     let (_there, mut link) = pair(&connections).await;
-    link.0.open(0);
+    link.0.begin_call(0);
     let connection = link.0.clone();
-    let mut ended = std::pin::pin!(connection.ended());
+    let mut ended = std::pin::pin!(connection.wait_for_end());
     let mut polls = 0;
     // As a server's task does, one thing polls both.
     let both = std::future::poll_fn(|cx| {
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,11 +1,11 @@
 //! The list of engines: the events told at the start, and DNS over UDP from then on.
 
 mod answer;
-mod known;
+mod configured_list;
 mod sockets;
 
 pub use answer::read_answer;
-pub use known::{known, Known};
+pub use configured_list::{read_configured_list, EngineSnapshot};
 
 use futures_util::FutureExt as _;
 use hickory_proto::op::{Message, MessageType, Query};
@@ -38,21 +38,21 @@
 
 /// What came of listening to the name service.
 #[derive(Debug)]
-pub enum Word {
+pub enum ListUpdate {
     /// The list, once it is another one than before, or known again; and when it was asked for.
-    List(Known, Instant),
+    List(EngineSnapshot, Instant),
     /// The list still is what it was when this question was asked.
-    Same(Instant),
+    Unchanged(Instant),
     /// A list of an earlier number in answer to the newest question: an old one, or the service counts anew.
-    Disputed(Known),
+    Disputed(EngineSnapshot),
     /// Nothing usable was there to be heard.
-    Nothing,
+    NoAnswer,
     /// Nothing usable for a while: the list may be old.
     Silent,
 }
 
 /// Asks the name service for as long as it is polled.
-pub struct Asker {
+pub struct NameServiceClient {
     /// None where there is no name service: the list then stays as it was told.
     server: Option<SocketAddr>,
     sockets: Sockets,
@@ -65,20 +65,25 @@
     awaited: VecDeque<(u16, Instant)>,
     /// Questions without a usable answer since the last one, when that was, and whether silence was told.
     unanswered: u32,
-    heard: Rc<Cell<Instant>>,
+    last_confirmed: Rc<Cell<Instant>>,
     silent: bool,
     /// How long answers take of late.
     answers_take: Duration,
     /// Answers that were of no use, since the start.
-    pub passed_over: Rc<Cell<u64>>,
+    pub ignored_answers: Rc<Cell<u64>>,
     log: Logger,
 }
 
-impl Asker {
-    pub fn start(server: Option<SocketAddr>, no: u64, seed: u64, log: Logger) -> std::io::Result<Asker> {
+impl NameServiceClient {
+    pub fn start(
+        server: Option<SocketAddr>,
+        no: u64,
+        seed: u64,
+        log: Logger,
+    ) -> std::io::Result<NameServiceClient> {
         let name = Name::from_str(SERVICE).map_err(std::io::Error::other)?;
         let now = Instant::now();
-        Ok(Asker {
+        Ok(NameServiceClient {
             server,
             sockets: Sockets::default(),
             rng: WyRand::new_seed(seed),
@@ -88,16 +93,16 @@
             next: now,
             awaited: VecDeque::new(),
             unanswered: 0,
-            heard: Rc::new(Cell::new(now)),
+            last_confirmed: Rc::new(Cell::new(now)),
             silent: false,
             answers_take: Duration::ZERO,
-            passed_over: Rc::default(),
+            ignored_answers: Rc::default(),
             log,
         })
     }
 
     /// Asks there from now on, at once; the numbers go on.
-    pub fn turn_to(&mut self, server: Option<SocketAddr>) {
+    pub fn set_server(&mut self, server: Option<SocketAddr>) {
         self.server = server;
         self.sockets.close();
         self.awaited.clear();
@@ -105,43 +110,43 @@
     }
 
     /// When the list was last confirmed, for whoever shows its age.
-    pub fn heard(&self) -> Rc<Cell<Instant>> {
-        self.heard.clone()
+    pub fn last_confirmed(&self) -> Rc<Cell<Instant>> {
+        self.last_confirmed.clone()
     }
 
     /// A list from elsewhere is in force unless a later one is.
-    pub fn told(&mut self, no: u64) -> bool {
+    pub fn advance_to(&mut self, no: u64) -> bool {
         let later = no > self.no;
         self.no = self.no.max(no);
         later
     }
 
     /// The list that was handed over last was not taken in: the next answer counts as news whatever its number.
-    pub fn not_taken(&mut self) {
+    pub fn forget_serial(&mut self) {
         (self.no, self.earlier) = (0, 0);
     }
 
     /// May be dropped and called again at any time: no more than a question is lost.
-    pub async fn change(&mut self) -> Word {
+    pub async fn next_update(&mut self) -> ListUpdate {
         loop {
             tokio::time::sleep_until(self.next).await;
             let began = Instant::now();
             self.next = began + self.patience();
             let word = self.ask().await;
-            if let Some(Word::List(..) | Word::Same(_)) = word {
-                return word.unwrap_or(Word::Nothing);
+            if let Some(ListUpdate::List(..) | ListUpdate::Unchanged(_)) = word {
+                return word.unwrap_or(ListUpdate::NoAnswer);
             }
             self.unanswered = self.unanswered.saturating_add(1);
-            if !self.silent && self.heard.get().elapsed() > SILENT {
+            if !self.silent && self.last_confirmed.get().elapsed() > SILENT {
                 self.silent = true;
                 slog::warn!(self.log, "name service silent: the list may be old"; "no" => self.no);
-                return Word::Silent;
+                return ListUpdate::Silent;
             }
             if let Some(disputed) = word {
                 return disputed;
             }
             if self.next.elapsed() < STOOD_STILL {
-                return Word::Nothing;
+                return ListUpdate::NoAnswer;
             }
         }
     }
@@ -154,7 +159,7 @@
     }
 
     /// What a usable answer says, if one comes.
-    async fn ask(&mut self) -> Option<Word> {
+    async fn ask(&mut self) -> Option<ListUpdate> {
         let Some(server) = self.server else { return std::future::pending().await };
         let mut question = Message::query();
         question.metadata.id = self.rng.generate();
@@ -166,7 +171,7 @@
         let newest = question.metadata.id;
         self.sockets.ask(server, &question.to_vec().ok()?, self.unanswered > 0).await;
         let mut bytes = [0; LONGEST];
-        let mut best: Option<(Known, Instant)> = None;
+        let mut best: Option<(EngineSnapshot, Instant)> = None;
         loop {
             let heard = match best {
                 None => timeout_at(self.next, self.sockets.hear(&mut bytes)).await.ok(),
@@ -175,14 +180,14 @@
             };
             let Some(length) = heard else { break };
             let usable = self.read(&bytes[..length], newest);
-            best = usable.into_iter().chain(best).max_by_key(|(known, asked)| (known.no, *asked));
+            best = usable.into_iter().chain(best).max_by_key(|(known, asked)| (known.serial, *asked));
         }
         let (known, asked) = best?;
         Some(self.news(known, asked))
     }
 
     /// The list of an answer that may be believed, and when its question was asked.
-    fn read(&mut self, bytes: &[u8], newest: u16) -> Option<(Known, Instant)> {
+    fn read(&mut self, bytes: &[u8], newest: u16) -> Option<(EngineSnapshot, Instant)> {
         let word = Message::from_vec(bytes).ok().and_then(|answer| {
             let ours = answer.queries.first().is_none_or(|q| q.name() == &self.name);
             let response = answer.metadata.message_type == MessageType::Response;
@@ -190,7 +195,7 @@
             asked.filter(|_| ours && response).map(|asked| (answer, asked))
         });
         let list = word.as_ref().and_then(|(answer, _)| read_answer(answer, &self.name));
-        if list.as_ref().is_none_or(|known| known.no < self.no) {
+        if list.as_ref().is_none_or(|known| known.serial < self.no) {
             self.pass_over(word.is_some(), list.as_ref());
         }
         let (answer, asked) = word?;
@@ -198,44 +203,44 @@
         if list.is_none() && is_newest {
             self.next = self.next.min(Instant::now() + AGAIN);
         }
-        list.filter(|known| known.no >= self.no || is_newest).map(|known| (known, asked))
+        list.filter(|known| known.serial >= self.no || is_newest).map(|known| (known, asked))
     }
 
     fn last_asked(&self) -> Instant {
         self.awaited.back().map_or_else(Instant::now, |(_, at)| *at)
     }
 
-    fn pass_over(&self, ours: bool, list: Option<&Known>) {
-        self.passed_over.set(self.passed_over.get() + 1);
+    fn pass_over(&self, ours: bool, list: Option<&EngineSnapshot>) {
+        self.ignored_answers.set(self.ignored_answers.get() + 1);
         let why = match (ours, list) {
             (false, _) => "no answer to a question of ours",
             (true, None) => "a failure, or no whole list",
             (true, Some(_)) => "an earlier number",
         };
         slog::debug!(self.log, "answer of the name service passed over"; "why" => why, "no" => self.no,
-            "its_no" => list.map(|known| known.no));
+            "its_no" => list.map(|known| known.serial));
     }
 
     /// A list of the same number is no news, one of an earlier number a late word or another server's.
-    fn news(&mut self, known: Known, asked: Instant) -> Word {
-        self.earlier = if known.no < self.no { self.earlier + 1 } else { 0 };
-        if known.no < self.no && self.earlier < GONE_BACK {
+    fn news(&mut self, known: EngineSnapshot, asked: Instant) -> ListUpdate {
+        self.earlier = if known.serial < self.no { self.earlier + 1 } else { 0 };
+        if known.serial < self.no && self.earlier < GONE_BACK {
             // It was heard: the next question waits its ordinary time.
             self.next = self.next.max(self.last_asked() + EVERY);
-            return Word::Disputed(known);
+            return ListUpdate::Disputed(known);
         }
-        let news = known.no != self.no || self.silent;
+        let news = known.serial != self.no || self.silent;
         if self.silent {
             slog::info!(self.log, "name service answers again"; "unanswered" => self.unanswered);
         }
-        (self.no, self.earlier, self.unanswered, self.silent) = (known.no, 0, 0, false);
+        (self.no, self.earlier, self.unanswered, self.silent) = (known.serial, 0, 0, false);
         self.answers_take = (self.answers_take * 3 + asked.elapsed()) / 4;
         self.next = self.last_asked() + EVERY;
-        self.heard.set(Instant::now());
+        self.last_confirmed.set(Instant::now());
         if news {
-            Word::List(known, asked)
+            ListUpdate::List(known, asked)
         } else {
-            Word::Same(asked)
+            ListUpdate::Unchanged(asked)
         }
     }
 }
--- a/crates/gateway/src/names/answer.rs
+++ b/crates/gateway/src/discovery/answer.rs
@@ -1,6 +1,6 @@
 //! The list of engines as an answer of the name service holds it.
 
-use super::Known;
+use super::EngineSnapshot;
 use crate::reducer::Listed;
 use bramblewharf::interface::{EngineEntry, EngineState};
 use hickory_proto::op::{Message, ResponseCode};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// None where the answer holds no whole list.
-pub fn read_answer(answer: &Message, service: &Name) -> Option<Known> {
+pub fn read_answer(answer: &Message, service: &Name) -> Option<EngineSnapshot> {
     if answer.metadata.response_code != ResponseCode::NoError || answer.metadata.truncation {
         return None;
     }
@@ -19,7 +19,7 @@
         _ => None,
     })?;
     let others = || answer.answers.iter().chain(&answer.additionals);
-    let mut list = Vec::new();
+    let mut engines = Vec::new();
     for record in answer.answers.iter().filter(|record| record.name == *service) {
         let RData::SRV(srv) = &record.data else { continue };
         let mut labels = srv.target.iter().map(|label| String::from_utf8_lossy(label).into_owned());
@@ -46,7 +46,7 @@
             nominal: f64::from(srv.weight) / 10.0,
             started: Duration::from_millis(told("started")?.parse().ok()?),
         };
-        list.push(Listed { entry, address: SocketAddr::new(ip, srv.port) });
+        engines.push(Listed { entry, address: SocketAddr::new(ip, srv.port) });
     }
-    Some(Known { no: u64::from(serial), list })
+    Some(EngineSnapshot { serial: u64::from(serial), engines })
 }
--- a/crates/gateway/src/names/known.rs
+++ b/crates/gateway/src/discovery/configured_list.rs
@@ -8,13 +8,13 @@
 
 /// The list as it stands after an event with this number.
 #[derive(Clone, Debug)]
-pub struct Known {
-    pub no: u64,
-    pub list: Vec<Listed>,
+pub struct EngineSnapshot {
+    pub serial: u64,
+    pub engines: Vec<Listed>,
 }
 
 /// Reads `known` of the configuration: the first event holds the whole list, later ones what has changed.
-pub fn known(value: &Value) -> Result<Known, String> {
+pub fn read_configured_list(value: &Value) -> Result<EngineSnapshot, String> {
     let mut engines: BTreeMap<Id, Listed> = BTreeMap::new();
     let items = value.get("items").and_then(Value::as_array).ok_or("known.items: is not a list")?;
     for (at, item) in items.iter().enumerate() {
@@ -31,8 +31,8 @@
         }
     }
     engines.retain(|_, listed| listed.entry.state != EngineState::Gone);
-    let no = value.get("no").and_then(Value::as_u64).ok_or("known.no: is not a whole number")?;
-    Ok(Known { no, list: engines.into_values().collect() })
+    let serial = value.get("no").and_then(Value::as_u64).ok_or("known.no: is not a whole number")?;
+    Ok(EngineSnapshot { serial, engines: engines.into_values().collect() })
 }
 
 fn member(row: &Value) -> Result<Listed, String> {
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,9 +1,9 @@
 //! Executions on engines: HTTP by awc. Each one's ending becomes an outcome, with no more proof than the network
 //! gives: only a connection refused or never established, or the protocol's own marks, prove that nothing ran.
 
-use crate::closes::{CloseReason, Closes};
+use crate::closes::{CloseCounts, CloseReason};
 use crate::config::Bounds;
-use crate::connection::{is_quiet, Connection, Connections, Stream};
+use crate::connection::{is_quiet, Connection, Connections, TrackedStream};
 use crate::reducer::{AfterCancel, Cancel, Ending, Parcel, Text, CANCEL_WITHIN};
 use crate::upload::{Sending, Upload};
 use actix_rt::net::TcpStream;
@@ -47,9 +47,9 @@
 const TRIES: usize = 5;
 
 const NOTHING: Text = Text::Whole(Bytes::new());
-const ALWAYS: May<'static> = May { begin: &|| true, arrive: &|| true };
+const ALWAYS: SendGuards<'static> = SendGuards { may_begin: &|| true, may_complete: &|| true };
 
-pub struct Engines {
+pub struct EngineClient {
     connections: Rc<Connections>,
     /// Connections that no execution uses, the longest at rest first; bounded with `lines` by `bounds.engines`, emptied of
     /// what has rested for `idle`.
@@ -77,7 +77,7 @@
     address: SocketAddr,
     client: Client,
     /// A connection that is made, for the client to take.
-    made: Rc<Cell<Option<Stream>>>,
+    made: Rc<Cell<Option<TrackedStream>>>,
     connection: Option<Rc<Connection>>,
 }
 
@@ -87,13 +87,13 @@
         let slot = made.clone();
         // Connections are made before the client is asked to send, and what became of that is known apart.
         let dial = fn_service(move |info: ConnectInfo<Uri>| {
-            let link: Option<Stream> = slot.take();
+            let link: Option<TrackedStream> = slot.take();
             std::future::ready(match link {
                 Some(link) => Ok(Dialled::new(info.request().clone(), link)),
                 None => Err(DialError::Io(io::ErrorKind::NotConnected.into())),
             })
         });
-        let connector = Connector::new().connector::<_, Stream>(dial).limit(1);
+        let connector = Connector::new().connector::<_, TrackedStream>(dial).limit(1);
         let client = Client::builder()
             .connector(connector)
             .disable_timeout()
@@ -128,7 +128,7 @@
 
 /// What is heard of an execution before its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
+pub enum ExecutionUpdate {
     /// The engine has it.
     Arrived,
     Note(Note),
@@ -155,35 +155,35 @@
 }
 
 /// What one execution is sent with.
-pub struct Job<'a> {
+pub struct Dispatch<'a> {
     pub address: SocketAddr,
     pub parcel: &'a Parcel,
     pub mem_mb: f64,
     /// Until when its end is waited for.
-    pub until: Instant,
-    pub may: May<'a>,
+    pub deadline: Instant,
+    pub guards: SendGuards<'a>,
 }
 
 /// Whether a call may still go out, right before its first byte does: nothing may have come since that takes it back. And whether
 /// one that takes long may still come whole.
 #[derive(Clone, Copy)]
-pub struct May<'a> {
-    pub begin: &'a dyn Fn() -> bool,
-    pub arrive: &'a dyn Fn() -> bool,
+pub struct SendGuards<'a> {
+    pub may_begin: &'a dyn Fn() -> bool,
+    pub may_complete: &'a dyn Fn() -> bool,
 }
 
-impl Engines {
+impl EngineClient {
     pub fn new(
         bounds: Bounds,
         names: Names,
         dial_timeout: Duration,
         engine_idle: Duration,
         one_at_a_time: bool,
-    ) -> Engines {
+    ) -> EngineClient {
         // Closed well before engines close them: a call must not cross such a close.
         let idle = engine_idle / 3;
-        let connections = Rc::new(Connections::of_engines(bounds.page, idle));
-        Engines {
+        let connections = Rc::new(Connections::for_engines(bounds.page, idle));
+        EngineClient {
             connections,
             resting: RefCell::default(),
             idle,
@@ -202,11 +202,11 @@
     }
 
     /// Why connections to engines were closed.
-    pub fn closes(&self) -> &Closes {
-        &self.connections.closes
+    pub fn close_counts(&self) -> &CloseCounts {
+        &self.connections.close_counts
     }
 
-    pub fn asked_again(&self) -> u64 {
+    pub fn retried_calls(&self) -> u64 {
         self.again.get()
     }
 
@@ -216,8 +216,8 @@
     }
 
     /// Closes what has been idle for too long; to be called now and then.
-    pub fn sweep(&self) {
-        self.connections.sweep();
+    pub fn close_idle(&self) {
+        self.connections.close_idle();
         self.resting.borrow_mut().retain(|resting| resting.since.elapsed() < self.idle);
     }
 
@@ -243,27 +243,32 @@
     }
 
     /// Runs one execution to its end; `heard` is told that it arrived, and the engine's notes.
-    pub async fn run(&self, job: Job<'_>, heard: impl Fn(Heard)) -> Ending {
-        let mut way = Way::to(job.address);
-        let ending = self.run_by(&mut way, &job, heard).await;
+    pub async fn run(&self, dispatch: Dispatch<'_>, heard: impl Fn(ExecutionUpdate)) -> Ending {
+        let mut way = Way::to(dispatch.address);
+        let ending = self.run_by(&mut way, &dispatch, heard).await;
         if let Some(stream) = way
             .connection
             .take()
-            .filter(|connection| connection.is_free())
-            .and_then(|connection| connection.take())
+            .filter(|connection| connection.is_reusable())
+            .and_then(|connection| connection.take_stream())
         {
             let since = Instant::now();
-            self.resting.borrow_mut().push_back(Resting { address: job.address, since, stream });
+            self.resting.borrow_mut().push_back(Resting { address: dispatch.address, since, stream });
         }
         ending
     }
 
-    async fn run_by(&self, way: &mut Way, job: &Job<'_>, heard: impl Fn(Heard)) -> Ending {
-        let id = String::from_utf8_lossy(&job.parcel.id);
-        let mut other = Way::to(job.address);
+    async fn run_by(
+        &self,
+        way: &mut Way,
+        dispatch: &Dispatch<'_>,
+        heard: impl Fn(ExecutionUpdate),
+    ) -> Ending {
+        let id = String::from_utf8_lossy(&dispatch.parcel.id);
+        let mut other = Way::to(dispatch.address);
         let first = tokio::select! {
             biased;
-            call = self.post(way, job) => Ok(call),
+            call = self.post(way, dispatch) => Ok(call),
             reply = self.ask_beside(&mut other, &id) => Err(reply),
         };
         let mut call = first.unwrap_or_else(|reply| {
@@ -278,7 +283,7 @@
                 Call::NoRoom if !started => return Outcome::Skipped.into(),
                 // No word against the engine; what it had of the text it can't have run, but nothing proves that.
                 Call::Broken => {
-                    self.end_what_is_of_no_use(job, &id).await;
+                    self.end_what_is_of_no_use(dispatch, &id).await;
                     return Outcome::Cancelled.into();
                 }
                 // The engine's process is gone, and the execution with it.
@@ -302,10 +307,10 @@
                     match self.read(&reply) {
                         News::None(note) => {
                             if !std::mem::replace(&mut arrived, true) {
-                                heard(Heard::Arrived);
+                                heard(ExecutionUpdate::Arrived);
                             }
                             unread = false;
-                            note.into_iter().for_each(|note| heard(Heard::Note(note)));
+                            note.into_iter().for_each(|note| heard(ExecutionUpdate::Note(note)));
                         }
                         // It waits where the engine has not read it, for nobody knows how long: the next would be out beside it.
                         News::Failed(Outcome::Error) if unread && self.one_at_a_time => sleep(REST).await,
@@ -336,7 +341,7 @@
                         way.leave();
                     }
                     if odd >= TRIES {
-                        self.end_what_is_of_no_use(job, &id).await;
+                        self.end_what_is_of_no_use(dispatch, &id).await;
                         return Outcome::Error.into();
                     }
                 }
@@ -405,7 +410,7 @@
 
     /// Whether an engine has read all that was sent to it before, as it answers calls that far apart, or its process is gone. `name`: of
     /// no statement.
-    pub async fn hear(&self, address: SocketAddr, name: &str, within: Duration) -> bool {
+    pub async fn confirm_reads(&self, address: SocketAddr, name: &str, within: Duration) -> bool {
         let (began, mut unanswered) = (Instant::now(), 0);
         let mut answered: Option<Instant> = None;
         while began.elapsed() < within {
@@ -424,17 +429,17 @@
     }
 
     /// An execution whose text broke off, or whose answers are none.
-    async fn end_what_is_of_no_use(&self, job: &Job<'_>, id: &str) {
+    async fn end_what_is_of_no_use(&self, dispatch: &Dispatch<'_>, id: &str) {
         let cancel = Cancel { arrived: true, within: CANCEL_WITHIN, awaited: self.one_at_a_time };
-        self.stop(job.address, id, cancel).await;
+        self.stop(dispatch.address, id, cancel).await;
     }
 
-    async fn post(&self, way: &mut Way, job: &Job<'_>) -> Call {
-        let Job { parcel, mem_mb, until, .. } = job;
+    async fn post(&self, way: &mut Way, dispatch: &Dispatch<'_>) -> Call {
+        let Dispatch { parcel, mem_mb, deadline, .. } = dispatch;
         let uri = format!("http://{}/x", way.address);
         let request = |client: &Client| {
             // What is left right before it goes out: a connection may have been made in between.
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let mut request = client
                 .post(&uri)
                 .insert_header(("X-Ticket", &parcel.id[..]))
@@ -448,7 +453,7 @@
             }
             request
         };
-        self.call(way, request, &parcel.text, UNANSWERED, job.may).await
+        self.call(way, request, &parcel.text, UNANSWERED, dispatch.guards).await
     }
 
     /// The news of an execution, or a further page of its result.
@@ -476,14 +481,14 @@
     }
 
     async fn connect(&self, way: &mut Way) -> Result<Rc<Connection>, Call> {
-        if let Some(connection) = way.connection.as_ref().filter(|connection| connection.is_free()) {
+        if let Some(connection) = way.connection.as_ref().filter(|connection| connection.is_reusable()) {
             return Ok(connection.clone());
         }
         let stream = match self.rested(way.address) {
             Some(stream) => stream,
             None => self.dial(way.address).await?,
         };
-        let link = self.connections.link(stream);
+        let link = self.connections.track(stream);
         let connection = link.0.clone();
         way.made.set(Some(link));
         way.connection = Some(connection.clone());
@@ -517,7 +522,7 @@
         request: impl Fn(&Client) -> ClientRequest,
         text: &Text,
         within: Duration,
-        may: May<'_>,
+        guards: SendGuards<'_>,
     ) -> Call {
         let mut was_late = false;
         for _ in 0..2 {
@@ -527,10 +532,10 @@
             };
             // Guards against what came between the decision and the socket: a pause of this process, a client that left
             // while the connection was made, a drain.
-            if !(may.begin)() {
+            if !(guards.may_begin)() {
                 return Call::NoRoom;
             }
-            connection.ask();
+            connection.prepare_send();
             let request = request(&way.client).no_decompress();
             let reply = match text {
                 Text::Whole(text) => {
@@ -541,7 +546,7 @@
                     let Some(outgoing) = body.start_sending() else { return Call::NoRoom };
                     let upload = Upload::new(&outgoing, connection.clone());
                     let sent = request.send_body(Sending::new(outgoing, upload.cut()));
-                    upload.watch(within, may.arrive, self.reply(sent)).await
+                    upload.watch(within, guards.may_complete, self.reply(sent)).await
                 }
             };
             if let Some(Some(reply)) = reply {
@@ -550,7 +555,7 @@
             let is_silent = reply.is_none();
             was_late = connection.was_late();
             way.leave();
-            if connection.sent() {
+            if connection.has_sent() {
                 return match text {
                     Text::Body(body) if body.is_aborted() || body.is_corrupted() => Call::Broken,
                     _ if is_silent => Call::Silent,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -3,7 +3,7 @@
 
 use crate::closes::CloseReason;
 use crate::config::Bounds;
-use crate::connection::{Connection, Connections, Stream};
+use crate::connection::{Connection, Connections, TrackedStream};
 use crate::intake::{self, Came};
 use crate::reducer::{Answer, Input, Parcel, Taken, Text};
 use crate::runtime::Core;
@@ -79,7 +79,7 @@
 
 impl Front {
     pub fn new(bounds: &Bounds) -> Rc<Front> {
-        let connections = Rc::new(Connections::of_clients(bounds.clients / 16, HEAD_WITHIN, IDLE));
+        let connections = Rc::new(Connections::for_clients(bounds.clients / 16, HEAD_WITHIN, IDLE));
         // Answers are kept for a while after they were given.
         let sessions = Rc::new(Sessions::new(2 * bounds.stmts));
         let (open, begun) = (Cell::new(0), Cell::new(0));
@@ -101,12 +101,12 @@
         let served = core.clone();
         let this = self.clone();
         let asked = core.clone();
-        let service = HttpService::<Stream, _, _>::build()
+        let service = HttpService::<TrackedStream, _, _>::build()
             .keep_alive(IDLE)
             .client_request_timeout(HEAD_WITHIN)
             .client_disconnect_timeout(UNREAD)
             .h1_allow_half_closed(true)
-            .on_connect_ext(|link: &Stream, ext: &mut actix_http::Extensions| {
+            .on_connect_ext(|link: &TrackedStream, ext: &mut actix_http::Extensions| {
                 ext.insert(link.0.clone());
             })
             .expect(fn_service(move |request: Request| {
@@ -129,7 +129,7 @@
         while !self.leaving.get() {
             // At the bound one that no call is open on makes room; where all are in use, new ones wait for one to have its answer.
             while !self.leaving.get() && self.open.get() + self.connections.linger.count() >= self.most {
-                self.crowded.set(!self.connections.close_least_used(SETTLED, RESTED));
+                self.crowded.set(!self.connections.close_one_idle(SETTLED, RESTED));
                 let _ = timeout(AT_BOUND, self.closed.notified()).await;
             }
             self.crowded.set(false);
@@ -148,7 +148,7 @@
                         slog::warn!(core.log, "connection not accepted"; "error" => %error);
                     }
                     // Most likely for want of descriptors, whatever the bound is: idle connections make room.
-                    self.connections.close_least_used(SETTLED, RESTED);
+                    self.connections.close_one_idle(SETTLED, RESTED);
                     sleep(Duration::from_millis(20)).await;
                 }
             }
@@ -164,10 +164,11 @@
 
     fn connect<S>(self: Rc<Self>, service: &Rc<S>, stream: TcpStream, from: SocketAddr, core: &Rc<Core>)
     where
-        S: actix_service::Service<(Stream, Protocol, Option<SocketAddr>), Error = DispatchError> + 'static,
+        S: actix_service::Service<(TrackedStream, Protocol, Option<SocketAddr>), Error = DispatchError>
+            + 'static,
     {
         let core = core.clone();
-        let call = service.call((self.connections.link(stream), Protocol::Http1, Some(from)));
+        let call = service.call((self.connections.track(stream), Protocol::Http1, Some(from)));
         self.open.set(self.open.get() + 1);
         actix_rt::spawn(async move {
             if let Err(DispatchError::Parse(_)) = call.await {
@@ -180,7 +181,7 @@
 
     async fn call(&self, core: Rc<Core>, mut request: Request) -> Response<BoxBody> {
         let connection = request.conn_data::<Rc<Connection>>().cloned();
-        if let Some(connection) = connection.as_ref().filter(|connection| connection.is_condemned()) {
+        if let Some(connection) = connection.as_ref().filter(|connection| connection.is_refused()) {
             // It came behind a call that was refused: it may be a part of that, and is not answered.
             sleep(BEHIND).await;
             connection.close(CloseReason::Refused);
@@ -188,13 +189,13 @@
         }
         let begun = connection
             .as_ref()
-            .map_or_else(Instant::now, |connection| connection.open(core.bounds.statement + AHEAD));
+            .map_or_else(Instant::now, |connection| connection.begin_call(core.bounds.statement + AHEAD));
         let _open = connection.clone().map(Open);
         let payload = request.take_payload();
         let path = request.path().strip_prefix(STATEMENTS);
         let mut response = match (request.method(), path) {
             // Bare line feeds, and what would turn the connection to another protocol.
-            _ if connection.as_ref().is_some_and(|connection| connection.is_odd()) => {
+            _ if connection.as_ref().is_some_and(|connection| connection.has_bare_line_feed()) => {
                 refusal(StatusCode::BAD_REQUEST, "a line of the head does not end as it should")
             }
             _ if request.headers().contains_key(header::UPGRADE) => {
@@ -253,14 +254,14 @@
 /// Whoever sends what is refused has lost count of the connection, or never had it: it carries no further call.
 pub fn close_behind(mut response: Response<BoxBody>, connection: Option<&Connection>) -> Response<BoxBody> {
     response.head_mut().set_connection_type(ConnectionType::Close);
-    connection.into_iter().for_each(Connection::condemn);
+    connection.into_iter().for_each(Connection::refuse_further_calls);
     response
 }
 
 /// Returns once the client has closed its side of the connection.
 async fn ended(connection: Option<&Connection>) {
     match connection {
-        Some(connection) => connection.ended().await,
+        Some(connection) => connection.wait_for_end().await,
         None => std::future::pending().await,
     }
 }
@@ -270,7 +271,7 @@
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.0.rest();
+        self.0.end_call();
     }
 }
 
@@ -376,7 +377,7 @@
 
 /// The connection of an answered call makes room for one that waits to be accepted, unless more has come on it.
 fn make_room(response: &mut Response<BoxBody>, connection: Option<&Connection>) {
-    if connection.is_some_and(|connection| !connection.has_next()) {
+    if connection.is_some_and(|connection| !connection.has_pending_input()) {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -115,7 +115,7 @@
         let part = timeout_at(text_by.into(), payload.next()).await.map_err(|_| TOO_SLOW)?;
         let Some(part) = part else {
             if let Some(connection) = connection {
-                connection.has_come(AHEAD);
+                connection.call_received(AHEAD);
             }
             return whole(parts, length as usize).map(Came::Whole);
         };
@@ -130,7 +130,7 @@
         return Err(TOO_LARGE);
     }
     // From here on what may be read ahead is bounded by what is taken from actix-http.
-    connection.into_iter().for_each(|connection| connection.allow(usize::MAX));
+    connection.into_iter().for_each(|connection| connection.set_read_allowance(usize::MAX));
     if core.turns_away() {
         return Ok(Came::NoRoom);
     }
@@ -204,7 +204,7 @@
         if !self.look.is_text() {
             return Err(NO_TEXT);
         }
-        connection.into_iter().for_each(|connection| connection.has_come(AHEAD));
+        connection.into_iter().for_each(|connection| connection.call_received(AHEAD));
         let ended = self.body.finish().await;
         self.refused(ended)
     }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -9,29 +9,29 @@
 use tokio::net::UdpSocket;
 
 /// The longest datagram that another gateway may send.
-pub const LONGEST: usize = 256;
+pub const MAX_GOSSIP_BYTES: usize = 256;
 
-pub struct Peers {
+pub struct PeerSocket {
     socket: UdpSocket,
     addresses: RefCell<Addresses>,
     own: usize,
     /// Datagrams of strangers, too long or not readable, since the start.
-    passed_over: Cell<u64>,
+    ignored_datagrams: Cell<u64>,
 }
 
-impl Peers {
-    pub async fn bind(addresses: Addresses, own: usize) -> io::Result<Peers> {
+impl PeerSocket {
+    pub async fn bind(addresses: Addresses, own: usize) -> io::Result<PeerSocket> {
         let socket = UdpSocket::bind(addresses.listen).await?;
-        Ok(Peers { socket, addresses: RefCell::new(addresses), own, passed_over: Cell::new(0) })
+        Ok(PeerSocket { socket, addresses: RefCell::new(addresses), own, ignored_datagrams: Cell::new(0) })
     }
 
     /// Other gateways are at these addresses from now on; our own stays.
-    pub fn turn_to(&self, addresses: Addresses) {
+    pub fn set_addresses(&self, addresses: Addresses) {
         self.addresses.replace(addresses);
     }
 
     /// Sends at once or not at all: what is told of loads is soon told again.
-    pub fn tell(&self, to: Option<u32>, said: &GossipMessage) {
+    pub fn send(&self, to: Option<u32>, message: &GossipMessage) {
         let addresses = self.addresses.borrow();
         let address = match to {
             None => addresses.all,
@@ -39,19 +39,21 @@
             Some(peer) => addresses.each.get(peer as usize).copied(),
         };
         if let Some(address) = address {
-            let _ = self.socket.try_send_to(&said.encode(), address);
+            let _ = self.socket.try_send_to(&message.encode(), address);
         }
     }
 
     /// The next message of a gateway that we know; others are passed over.
-    pub async fn hear(&self) -> Event {
-        let mut bytes = [0; LONGEST + 1];
+    pub async fn receive(&self) -> Event {
+        let mut bytes = [0; MAX_GOSSIP_BYTES + 1];
         loop {
             match self.socket.recv_from(&mut bytes).await {
                 Ok((length, from)) => {
-                    let number = self.number(from).filter(|_| length <= LONGEST);
+                    let number = self.peer_number(from).filter(|_| length <= MAX_GOSSIP_BYTES);
                     match number.map(|number| message::read(number, &bytes[..length])) {
-                        None | Some(Event::Unreadable) => self.passed_over.set(self.passed_over.get() + 1),
+                        None | Some(Event::Unreadable) => {
+                            self.ignored_datagrams.set(self.ignored_datagrams.get() + 1)
+                        }
                         Some(event) => return event,
                     }
                 }
@@ -61,11 +63,11 @@
         }
     }
 
-    pub fn passed_over(&self) -> u64 {
-        self.passed_over.get()
+    pub fn ignored_datagrams(&self) -> u64 {
+        self.ignored_datagrams.get()
     }
 
-    fn number(&self, from: SocketAddr) -> Option<u32> {
+    fn peer_number(&self, from: SocketAddr) -> Option<u32> {
         let at = self.addresses.borrow().each.iter().position(|address| *address == from)?;
         (at != self.own).then_some(at as u32)
     }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -2,13 +2,13 @@
 
 use crate::config::{self, AtStart, Bounds, Start};
 use crate::connection::Connections;
-use crate::engines::{Engines, Heard, Job, May};
+use crate::discovery::{EngineSnapshot, ListUpdate, NameServiceClient};
+use crate::engines::{Dispatch, EngineClient, ExecutionUpdate, SendGuards};
 use crate::fleet::{machine_time, Link};
 use crate::front::Front;
 use crate::invariants::Invariant;
-use crate::names::{Asker, Known, Word};
 use crate::operators::{self, Bodies};
-use crate::peers::Peers;
+use crate::peers::PeerSocket;
 use crate::policy;
 use crate::record_file::{self, RecordFile};
 use crate::reducer::{Answer, Effect, Input, Part, Reducer, Text};
@@ -111,7 +111,7 @@
 #[derive(Default)]
 struct Turn {
     names: Option<Option<SocketAddr>>,
-    known: Option<Known>,
+    known: Option<EngineSnapshot>,
 }
 
 /// The reducer, and what its effects need.
@@ -134,8 +134,8 @@
     trace: Trace,
     /// When this process stood still last.
     pub standstill: Standstill,
-    engines: Engines,
-    peers: Option<Peers>,
+    engines: EngineClient,
+    peers: Option<PeerSocket>,
     fleet: Option<Link>,
     policy: Option<policy::Disk>,
     /// Where what is out at engines is kept.
@@ -259,7 +259,7 @@
                             stopping.abort();
                         }
                     }
-                    let may = || {
+                    let may_begin = || {
                         let now = core.clock.now();
                         let due = not_after.is_none_or(|end| now <= end);
                         let lapsed = core.reducer.borrow().lapsed(now, &id, execution);
@@ -270,17 +270,17 @@
                         }
                         goes
                     };
-                    let arrives = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
-                    let may = May { begin: &may, arrive: &arrives };
-                    let job = Job { address, parcel: &parcel, mem_mb, until, may };
-                    let heard = |heard| {
+                    let may_complete = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
+                    let guards = SendGuards { may_begin: &may_begin, may_complete: &may_complete };
+                    let dispatch = Dispatch { address, parcel: &parcel, mem_mb, deadline: until, guards };
+                    let on_update = |update| {
                         let id = id.clone();
-                        core.input(match heard {
-                            Heard::Arrived => Input::Arrived { id, execution },
-                            Heard::Note(note) => Input::Noted { id, execution, note },
+                        core.input(match update {
+                            ExecutionUpdate::Arrived => Input::Arrived { id, execution },
+                            ExecutionUpdate::Note(note) => Input::Noted { id, execution, note },
                         });
                     };
-                    let ending = core.engines.run(job, heard).await;
+                    let ending = core.engines.run(dispatch, on_update).await;
                     core.running.borrow_mut().remove(&(id.clone(), execution));
                     if matches!(&parcel.text, Text::Body(body) if !body.is_kept()) {
                         core.input(Input::Unkept(id.clone()));
@@ -310,7 +310,7 @@
             Effect::Hear { address, name, within } => {
                 let core = self.clone();
                 actix_rt::spawn(async move {
-                    let has_read = core.engines.hear(address, &name, within).await;
+                    let has_read = core.engines.confirm_reads(address, &name, within).await;
                     core.input(Input::EngineHeard { has_read });
                 });
             }
@@ -329,7 +329,7 @@
             }
             Effect::Tell { to, message } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &message);
+                    peers.send(to, &message);
                 }
             }
         }
@@ -350,7 +350,7 @@
 
     async fn hear_peers(self: Rc<Self>) {
         while let Some(peers) = &self.peers {
-            let event = peers.hear().await;
+            let event = peers.receive().await;
             self.input(Input::Told(event));
         }
     }
@@ -372,7 +372,7 @@
         }
     }
 
-    async fn follow_list(self: Rc<Self>, mut asker: Asker) {
+    async fn follow_list(self: Rc<Self>, mut name_service: NameServiceClient) {
         let mut before: BTreeMap<Id, EngineState> = BTreeMap::new();
         loop {
             let news = tokio::select! {
@@ -380,30 +380,30 @@
                 () = self.turn.notified() => {
                     let Turn { names, known } = self.turned.take();
                     if let Some(names) = names {
-                        asker.turn_to(names);
+                        name_service.set_server(names);
                         self.input(names.map_or(Input::ListStays, |_| Input::ListAsked(None)));
                     }
-                    match known.filter(|known| asker.told(known.no)) {
+                    match known.filter(|known| name_service.advance_to(known.serial)) {
                         // A file may be older than what it holds: it confirms nothing.
                         Some(known) => (known, None),
                         None => continue,
                     }
                 }
-                word = asker.change() => match word {
-                    Word::List(known, asked) => (known, Some(asked)),
-                    Word::Same(asked) => {
+                update = name_service.next_update() => match update {
+                    ListUpdate::List(known, asked) => (known, Some(asked)),
+                    ListUpdate::Unchanged(asked) => {
                         self.input(Input::ListAsked(Some(self.clock.at(asked))));
                         continue;
                     }
-                    Word::Disputed(known) => {
-                        self.input(Input::ListDisputed(known.list));
+                    ListUpdate::Disputed(known) => {
+                        self.input(Input::ListDisputed(known.engines));
                         continue;
                     }
-                    Word::Nothing => {
+                    ListUpdate::NoAnswer => {
                         self.input(Input::ListAsked(None));
                         continue;
                     }
-                    Word::Silent => {
+                    ListUpdate::Silent => {
                         self.input(Input::ListAsked(None));
                         self.input(Input::Engines(ListKind::Failed, Vec::new()));
                         continue;
@@ -411,13 +411,13 @@
                 },
             };
             let (known, asked) = news;
-            let entries = known.list.iter().map(|listed| (listed.entry.id.clone(), listed.entry.state));
+            let entries = known.engines.iter().map(|listed| (listed.entry.id.clone(), listed.entry.state));
             let now: BTreeMap<Id, EngineState> = entries.collect();
             let draining = now.values().filter(|state| **state == EngineState::Draining).count();
             let removed = before.keys().filter(|id| !now.contains_key(*id)).count();
-            slog::info!(self.log, "list of engines"; "no" => known.no, "engines" => now.len(),
+            slog::info!(self.log, "list of engines"; "no" => known.serial, "engines" => now.len(),
                 "draining" => draining, "removed" => removed);
-            for listed in known.list.iter().filter(|l| before.get(&l.entry.id) != Some(&l.entry.state)) {
+            for listed in known.engines.iter().filter(|l| before.get(&l.entry.id) != Some(&l.entry.state)) {
                 self.trace.listed(
                     &listed.entry.id,
                     &format!("{:?}", listed.entry.state),
@@ -430,10 +430,10 @@
                 .for_each(|id| self.trace.listed(id, "Gone", None));
             before = now;
             // Confirmed is what was taken in, and nothing else.
-            match (self.take_in(Input::Engines(ListKind::Snapshot, known.list)), asked) {
+            match (self.take_in(Input::Engines(ListKind::Snapshot, known.engines)), asked) {
                 (true, Some(asked)) => self.input(Input::ListAsked(Some(self.clock.at(asked)))),
                 (true, None) => {}
-                (false, _) => asker.not_taken(),
+                (false, _) => name_service.forget_serial(),
             }
         }
     }
@@ -442,13 +442,13 @@
         let mut reducer = self.reducer.borrow_mut();
         let ill = reducer.take_ill();
         let mut broken = reducer.broken.clone();
-        broken.add(Invariant::ClosesAnswered, clients.closes.unanswered());
+        broken.add(Invariant::ClosesAnswered, clients.close_counts.unanswered());
         slog::info!(self.log, "figures"; "counts" => ?reducer.counts, "held" => reducer.held(),
             "open" => reducer.open(), "ill" => ?ill, "bad_calls" => ?self.bad_calls.borrow(),
-            "refusals" => ?reducer.refusals, "closed" => ?clients.closes.counts(), "closed_to_engines" => ?self.engines.closes().counts(),
-            "asked_again" => self.engines.asked_again(), "names_passed_over" => self.names_passed_over.get(),
+            "refusals" => ?reducer.refusals, "closed" => ?clients.close_counts.counts(), "closed_to_engines" => ?self.engines.close_counts().counts(),
+            "asked_again" => self.engines.retried_calls(), "names_passed_over" => self.names_passed_over.get(),
             "list_age_ms" => self.list_heard.get().elapsed().as_millis() as u64,
-            "peers_passed_over" => self.peers.as_ref().map_or(0, Peers::passed_over),
+            "peers_passed_over" => self.peers.as_ref().map_or(0, PeerSocket::ignored_datagrams),
             "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.spooled_bytes(),
             "bodies_fault" => self.bodies.take_last_error(),
             "connections" => self.engines.connections(), "faults" => self.faults.get(),
@@ -494,7 +494,7 @@
             None => None,
             Some(peers) => {
                 let at = peers.listen;
-                let bound = Peers::bind(peers, start.site.gateway as usize).await;
+                let bound = PeerSocket::bind(peers, start.site.gateway as usize).await;
                 Some(bound.map_err(|e| named("peer_listen", &at, e))?)
             }
         };
@@ -505,13 +505,14 @@
                 Some(link.map_err(|e| named("fleet", &terms.listen, e))?)
             }
         };
-        let asker = Asker::start(start.names, start.known.no, start.seed, log.clone())?;
+        let name_service =
+            NameServiceClient::start(start.names, start.known.serial, start.seed, log.clone())?;
         let in_force = RefCell::new((start.names, start.peers.clone()));
         let ticks = start.fleet.is_some().then(|| ticks.unwrap_or_else(|| Rc::new(machine_time)));
         let clock = Clock::new(ticks);
         let (one_at_a_time, idle) = (!start.site.concurrent_executions, start.engine_idle);
         let (bounds, words) = (start.bounds.clone(), start.words.clone());
-        let engines = Engines::new(bounds, words, start.dial_timeout, idle, one_at_a_time);
+        let engines = EngineClient::new(bounds, words, start.dial_timeout, idle, one_at_a_time);
         let deduplicated = |w: &WorkloadConfig| matches!(w.effect, Repeat::Deduplicated(_));
         let keyed = start.site.workloads.iter().map(deduplicated).collect();
         let (bodies, folder) = keeper(&start.operators.bodies, disk, &log)?;
@@ -579,8 +580,8 @@
             fleet,
             policy,
             record,
-            names_passed_over: asker.passed_over.clone(),
-            list_heard: asker.heard(),
+            names_passed_over: name_service.ignored_answers.clone(),
+            list_heard: name_service.last_confirmed(),
             callers: Cell::new(0),
             answers: RefCell::default(),
             running: RefCell::default(),
@@ -593,7 +594,7 @@
             closed: Cell::new(false),
         });
         first.into_iter().for_each(|effect| core.carry_out(effect));
-        core.input(Input::Engines(ListKind::Cached, start.known.list));
+        core.input(Input::Engines(ListKind::Cached, start.known.engines));
         if start.names.is_some() {
             // What the configuration holds was told with it.
             core.input(Input::ListAsked(Some(core.clock.now())));
@@ -603,7 +604,7 @@
             "bounds" => ?core.bounds);
         let mut tasks =
             vec![actix_rt::spawn(core.clone().keep_time()), actix_rt::spawn(core.clone().hear_peers())];
-        tasks.push(actix_rt::spawn(core.clone().follow_list(asker)));
+        tasks.push(actix_rt::spawn(core.clone().follow_list(name_service)));
         if core.fleet.is_some() {
             tasks.push(actix_rt::spawn(core.clone().hear_fleet()));
         }
@@ -631,8 +632,8 @@
                 sleep(SWEEP).await;
                 // Nothing is closed for its age while what came during a pause waits to be read.
                 engines.settled().await;
-                swept.connections.sweep();
-                engines.engines.sweep();
+                swept.connections.close_idle();
+                engines.engines.close_idle();
                 engines.write_status();
                 if logged.elapsed() >= FIGURES {
                     logged = Instant::now();
@@ -670,9 +671,9 @@
             waits.push("fleet");
         }
         if let (Some(ours), Some(peers)) = (&self.core.peers, &start.peers) {
-            ours.turn_to(peers.clone());
+            ours.set_addresses(peers.clone());
         }
-        slog::info!(log, "configuration reloaded"; "names" => ?start.names, "known" => start.known.no,
+        slog::info!(log, "configuration reloaded"; "names" => ?start.names, "known" => start.known.serial,
             "waits_for_restart" => ?waits);
         *in_force = (start.names, start.peers);
         turned.known = Some(start.known);
@@ -718,7 +719,7 @@
         for _ in 0..3 {
             self.core.input(Input::Depart);
         }
-        self.front.connections.part_from_all();
+        self.front.connections.close_all_at_shutdown();
         let parted = Instant::now();
         while self.front.connections.linger.count() > 0 && parted.elapsed() < READ_OUT && !gone_in().is_zero()
         {
--- a/crates/gateway/src/upload.rs
+++ b/crates/gateway/src/upload.rs
@@ -101,7 +101,7 @@
             if !may_arrive() {
                 return None;
             }
-            if !self.cut.cut.get() && !self.pace.finished.get() && self.connection.answers_early() {
+            if !self.cut.cut.get() && !self.pace.finished.get() && self.connection.check_early_answer() {
                 self.cut.cut.set(true);
                 self.pace.last_activity.set(std::time::Instant::now());
                 self.cut.waker.take().into_iter().for_each(Waker::wake);
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway that serves in a thread of its own, and clients that ask it.
 #![allow(dead_code)]
 
-pub mod names;
+pub mod name_service;
 pub mod program;
 
 use bramblewharf_bodies::accounting::Counts;
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -2,11 +2,11 @@
 
 mod common;
 use bramblewharf_gateway::config;
-use bramblewharf_gateway::names::{read_answer, Asker, Word};
+use bramblewharf_gateway::discovery::{read_answer, ListUpdate, NameServiceClient};
 use bramblewharf_standins::{answer, nobody, read_message, Call, Engine, Reply, LONG};
 use bramblewharf_turns::message::Observation as Told;
 use bramblewharf_turns::{EngineHash, GossipMessage};
-use common::names::*;
+use common::name_service::*;
 use common::program::*;
 use common::*;
 use hickory_proto::op::Message;
@@ -726,13 +726,13 @@
         vec![list_answer(id, serial, &[("x", address, 1)])]
     });
     actix_rt::System::new().block_on(async {
-        let mut asker = asker(names, 1);
+        let mut client = client(names, 1);
         // More than a second without a usable answer is told, and so is the end of that.
         for wanted in [Some(5), None, Some(7)] {
-            let word = news(&mut asker).await;
+            let word = news(&mut client).await;
             assert!(
-                matches!((&word, wanted), (Word::Silent, None))
-                    || matches!((&word, wanted), (Word::List(known, _), Some(no)) if known.no == no),
+                matches!((&word, wanted), (ListUpdate::Silent, None))
+                    || matches!((&word, wanted), (ListUpdate::List(known, _), Some(no)) if known.serial == no),
                 "{word:?}"
             );
         }
@@ -740,20 +740,20 @@
 }
 
 /// The next word that is news: neither that nothing has changed or been heard, nor a list of an earlier number.
-async fn news(asker: &mut Asker) -> Word {
+async fn news(client: &mut NameServiceClient) -> ListUpdate {
     loop {
-        let word = tokio::time::timeout(LONG, asker.change()).await.unwrap();
+        let word = tokio::time::timeout(LONG, client.next_update()).await.unwrap();
         match word {
-            Word::Same(_) | Word::Nothing => {}
-            Word::Disputed(known) => assert!([3, 4].contains(&known.no), "{known:?}"),
+            ListUpdate::Unchanged(_) | ListUpdate::NoAnswer => {}
+            ListUpdate::Disputed(known) => assert!([3, 4].contains(&known.serial), "{known:?}"),
             news => return news,
         }
     }
 }
 
-fn asker(names: SocketAddr, no: u64) -> Asker {
+fn client(names: SocketAddr, no: u64) -> NameServiceClient {
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    Asker::start(Some(names), no, 7, log).unwrap()
+    NameServiceClient::start(Some(names), no, 7, log).unwrap()
 }
 
 /// A name service that has been silent says so once, and its first answer counts even if nothing has changed.
@@ -765,12 +765,15 @@
         _ => Vec::new(),
     });
     actix_rt::System::new().block_on(async {
-        let mut asker = asker(names, 5);
+        let mut client = client(names, 5);
         let mut words = Vec::new();
         while words.len() < 2 {
-            words.push(news(&mut asker).await);
+            words.push(news(&mut client).await);
         }
-        assert!(matches!(&words[..], [Word::Silent, Word::List(known, _)] if known.no == 5), "{words:?}");
+        assert!(
+            matches!(&words[..], [ListUpdate::Silent, ListUpdate::List(known, _)] if known.serial == 5),
+            "{words:?}"
+        );
     });
 }
 
@@ -782,9 +785,9 @@
     let whole = list_answer(1, 41, &[one, two]);
     // Through the bytes: names are compressed on the way.
     let known = read_answer(&Message::from_vec(&whole.to_vec().unwrap()).unwrap(), &service).unwrap();
-    assert_eq!(known.no, 41);
+    assert_eq!(known.serial, 41);
     let shown: Vec<String> = known
-        .list
+        .engines
         .iter()
         .map(|l| {
             let e = &l.entry;
@@ -865,7 +868,7 @@
         ),
         ("/settings/profiles/1/deadlineUs", json!(-1), "settings.profiles[1].deadlineUs: -1 is not"),
         ("/peers", json!({}), "peers: {} is not a list"),
-        ("/known/no", json!("one"), "known.no: is not a whole number"),
+        ("/known/no", json!("one"), "known.serial: is not a whole number"),
         (
             "/known/items/0/roster/members/0/host_port",
             json!("x"),
--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -3,9 +3,9 @@
 
 mod common;
 use bramblewharf_gateway::config;
-use bramblewharf_gateway::names::{Asker, Word};
+use bramblewharf_gateway::discovery::{ListUpdate, NameServiceClient};
 use bramblewharf_standins::{answer, Engine, Reply, LONG};
-use common::names::*;
+use common::name_service::*;
 use common::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
@@ -456,15 +456,17 @@
     });
     actix_rt::System::new().block_on(async {
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let mut asker = Asker::start(Some(names), 1, 7, log).unwrap();
-        let heard = asker.heard();
+        let mut client = NameServiceClient::start(Some(names), 1, 7, log).unwrap();
+        let heard = client.last_confirmed();
         let before = heard.get();
         let word = loop {
-            if let Word::List(known, _) = tokio::time::timeout(LONG, asker.change()).await.unwrap() {
+            if let ListUpdate::List(known, _) =
+                tokio::time::timeout(LONG, client.next_update()).await.unwrap()
+            {
                 break known;
             }
         };
-        assert!(word.no == 5 && heard.get() > before);
+        assert!(word.serial == 5 && heard.get() > before);
     });
 }
 
--- a/crates/rig/src/scale/hollow/fleet.rs
+++ b/crates/rig/src/scale/hollow/fleet.rs
@@ -412,7 +412,16 @@
     let mut site = template.site.clone();
     (site.gateway, site.zone) = (at as u32, zone(at).into());
     let policy = Some((start, policy.names));
-    Ok(Own { at, part, policy, site, list: template.known.list.clone(), seed: rng.generate(), fleet, peers })
+    Ok(Own {
+        at,
+        part,
+        policy,
+        site,
+        list: template.known.engines.clone(),
+        seed: rng.generate(),
+        fleet,
+        peers,
+    })
 }
 
 fn zone(at: usize) -> String {
--- a/crates/rig/src/scale/hollow/gateway.rs
+++ b/crates/rig/src/scale/hollow/gateway.rs
@@ -8,7 +8,7 @@
 use bramblewharf_gateway::reducer::{
     AfterCancel, Answer, Effect, Ending, Input, Listed, Parcel, Reducer, Taken, Text,
 };
-use bramblewharf_gateway::{machine_time, policy, LONGEST_OF_PEERS, MOST_A_SECOND};
+use bramblewharf_gateway::{machine_time, policy, MAX_GOSSIP_BYTES, MOST_A_SECOND};
 use bramblewharf_policy::PolicyMessage;
 use bytes::Bytes;
 use nanorand::{Rng, WyRand};
@@ -250,7 +250,7 @@
         if self.arrives(bytes) {
             // As the program looks it up.
             let number = self.shared.peers.iter().position(|address| *address == from);
-            let number = number.filter(|at| *at != self.at && bytes.len() <= LONGEST_OF_PEERS);
+            let number = number.filter(|at| *at != self.at && bytes.len() <= MAX_GOSSIP_BYTES);
             match number.map(|number| bramblewharf_site::message::read(number as u32, bytes)) {
                 None | Some(bramblewharf::interface::Event::Unreadable) => add(&self.seen().passed_over, 1),
                 Some(event) => self.input(Input::Told(event)),
@@ -362,7 +362,7 @@
         Ok(hollow) => hollow,
         Err(error) => return eprintln!("hollow: {error}"),
     };
-    let (mut of_fleet, mut of_peers) = ([0; MAX_DATAGRAM_BYTES + 1], [0; LONGEST_OF_PEERS + 1]);
+    let (mut of_fleet, mut of_peers) = ([0; MAX_DATAGRAM_BYTES + 1], [0; MAX_GOSSIP_BYTES + 1]);
     while !hollow.shared.over.load(Relaxed) && !hollow.seen().ended.load(Relaxed) {
         let now = machine_time();
         let due = hollow.due(now);
