--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -63,7 +63,7 @@
                 "{}: {} workloads, {} engines known",
                 start.name,
                 start.site.workloads.len(),
-                start.cached_engines.list.len()
+                start.cached_engines.engines.len()
             );
         }),
         Command::Version => {
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -3,7 +3,7 @@
 
 use crate::closes::CloseReason;
 use crate::config::Bounds;
-use crate::connection::{Connection, Connections, Stream};
+use crate::connection::{Connection, Connections, TrackedStream};
 use crate::intake::{self, Received};
 use crate::reducer::{Answer, Input, Parcel, Taken, Text};
 use crate::runtime::Core;
@@ -93,7 +93,7 @@
 impl Frontend {
     /// A frontend without connections.
     pub fn new(bounds: &Bounds) -> Rc<Frontend> {
-        let connections = Rc::new(Connections::of_clients(bounds.clients / 16, HEAD_TIMEOUT, IDLE_TIMEOUT));
+        let connections = Rc::new(Connections::for_clients(bounds.clients / 16, HEAD_TIMEOUT, IDLE_TIMEOUT));
         // Twice the statements in progress, since answers are kept for a while after they were given.
         let sessions = Rc::new(Sessions::new(2 * bounds.stmts));
         let (open_connections, statements_begun) = (Cell::new(0), Cell::new(0));
@@ -125,12 +125,12 @@
         let call_core = core.clone();
         let this = self.clone();
         let admission_core = core.clone();
-        let service = HttpService::<Stream, _, _>::build()
+        let service = HttpService::<TrackedStream, _, _>::build()
             .keep_alive(IDLE_TIMEOUT)
             .client_request_timeout(HEAD_TIMEOUT)
             .client_disconnect_timeout(DISCONNECT_TIMEOUT)
             .h1_allow_half_closed(true)
-            .on_connect_ext(|link: &Stream, ext: &mut actix_http::Extensions| {
+            .on_connect_ext(|link: &TrackedStream, ext: &mut actix_http::Extensions| {
                 ext.insert(link.0.clone());
             })
             .expect(fn_service(move |request: Request| {
@@ -156,7 +156,7 @@
             while !self.stopping.get()
                 && self.open_connections.get() + self.connections.linger.count() >= self.max_connections
             {
-                self.at_limit.set(!self.connections.close_least_used(UNUSED_MIN_AGE, USED_MIN_IDLE));
+                self.at_limit.set(!self.connections.close_one_idle(UNUSED_MIN_AGE, USED_MIN_IDLE));
                 let _ = timeout(EVICTION_INTERVAL, self.closed.notified()).await;
             }
             self.at_limit.set(false);
@@ -176,7 +176,7 @@
                     }
                     // Most likely the process is out of file descriptors: closing an idle connection frees
                     // one.
-                    self.connections.close_least_used(UNUSED_MIN_AGE, USED_MIN_IDLE);
+                    self.connections.close_one_idle(UNUSED_MIN_AGE, USED_MIN_IDLE);
                     sleep(Duration::from_millis(20)).await;
                 }
             }
@@ -198,10 +198,11 @@
         from: SocketAddr,
         core: &Rc<Core>,
     ) where
-        S: actix_service::Service<(Stream, Protocol, Option<SocketAddr>), Error = DispatchError> + 'static,
+        S: actix_service::Service<(TrackedStream, Protocol, Option<SocketAddr>), Error = DispatchError>
+            + 'static,
     {
         let core = core.clone();
-        let call = service.call((self.connections.link(stream), Protocol::Http1, Some(from)));
+        let call = service.call((self.connections.track(stream), Protocol::Http1, Some(from)));
         self.open_connections.set(self.open_connections.get() + 1);
         actix_rt::spawn(async move {
             if let Err(DispatchError::Parse(_)) = call.await {
@@ -214,21 +215,21 @@
 
     async fn handle_call(&self, core: Rc<Core>, mut request: Request) -> Response<BoxBody> {
         let connection = request.conn_data::<Rc<Connection>>().cloned();
-        if let Some(connection) = connection.as_ref().filter(|connection| connection.is_condemned()) {
+        if let Some(connection) = connection.as_ref().filter(|connection| connection.is_refused()) {
             // It follows a refused call and may be part of that call's body, so it is not carried out.
             sleep(CONDEMNED_CLOSE_DELAY).await;
             connection.close(CloseReason::Refused);
             return error_response(StatusCode::BAD_REQUEST, "behind a refused call");
         }
         let begun = connection.as_ref().map_or_else(Instant::now, |connection| {
-            connection.open(core.bounds.statement + READ_AHEAD_BYTES)
+            connection.begin_call(core.bounds.statement + READ_AHEAD_BYTES)
         });
         let _open_call = connection.clone().map(OpenCall);
         let payload = request.take_payload();
         let path = request.path().strip_prefix(STATEMENTS_PREFIX);
         let mut response = match (request.method(), path) {
             // Bare line feeds in the head, and requests to switch the connection to another protocol.
-            _ if connection.as_ref().is_some_and(|connection| connection.is_odd()) => {
+            _ if connection.as_ref().is_some_and(|connection| connection.has_bare_line_feed()) => {
                 error_response(StatusCode::BAD_REQUEST, "a line of the head does not end as it should")
             }
             _ if request.headers().contains_key(header::UPGRADE) => {
@@ -297,14 +298,14 @@
 /// nothing further on the connection is carried out.
 pub fn close_after(mut response: Response<BoxBody>, connection: Option<&Connection>) -> Response<BoxBody> {
     response.head_mut().set_connection_type(ConnectionType::Close);
-    connection.into_iter().for_each(Connection::condemn);
+    connection.into_iter().for_each(Connection::refuse_further_calls);
     response
 }
 
 /// Returns once the client has closed its side of the connection.
 async fn client_closed(connection: Option<&Connection>) {
     match connection {
-        Some(connection) => connection.ended().await,
+        Some(connection) => connection.wait_for_end().await,
         None => std::future::pending().await,
     }
 }
@@ -314,7 +315,7 @@
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.0.rest();
+        self.0.end_call();
     }
 }
 
@@ -432,7 +433,7 @@
 /// Closes the connection after this response so that a new one can be accepted, unless the next call has
 /// begun on it.
 fn close_to_make_room(response: &mut Response<BoxBody>, connection: Option<&Connection>) {
-    if connection.is_some_and(|connection| !connection.has_next()) {
+    if connection.is_some_and(|connection| !connection.has_pending_input()) {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
 }
--- a/crates/rig/src/scale/hollow/fleet.rs
+++ b/crates/rig/src/scale/hollow/fleet.rs
@@ -417,7 +417,7 @@
         part,
         policy,
         site,
-        list: template.cached_engines.list.clone(),
+        list: template.cached_engines.engines.clone(),
         seed: rng.generate(),
         fleet,
         peers,
