--- a/crates/gateway/src/reducer.rs
+++ b/crates/gateway/src/reducer.rs
@@ -6,10 +6,10 @@
 mod fleet;
 mod io;
 
-use crate::hearing::Hearing;
 use crate::invariants::{Invariant, Violations};
 use crate::orphans::OrphanTracker;
 use crate::policy::Names;
+use crate::predecessor_check::PredecessorCheck;
 use bramblewharf::interface::*;
 use bramblewharf::scheduler::{Refusal, Rule, Scheduler};
 use bramblewharf_fleet::node::{Node, Remains};
@@ -157,7 +157,7 @@
     /// Executions that have ended here but may still run at their engines; budgets keep counting them.
     orphans: OrphanTracker,
     /// Engines that have not confirmed yet that they have read everything a previous process sent.
-    hearing: Option<Hearing>,
+    predecessor_check: Option<PredecessorCheck>,
     /// Failed executions by engine, since they were last logged.
     engine_failures: BTreeMap<Id, u64>,
     pub counts: Counts,
@@ -220,7 +220,7 @@
             events: VecDeque::new(),
             effects: Vec::new(),
             orphans: OrphanTracker::default(),
-            hearing: None,
+            predecessor_check: None,
             engine_failures: BTreeMap::new(),
             counts: Counts::default(),
             refusals: BTreeMap::new(),
@@ -673,7 +673,7 @@
         self.list_silent = kind == ListKind::Failed;
         self.listed |= kind != ListKind::Failed;
         let entries = list.iter().map(|listed| listed.entry.clone()).collect();
-        self.hearing.iter_mut().for_each(|hearing| hearing.listed(list.iter()));
+        self.predecessor_check.iter_mut().for_each(|check| check.add_engines(list.iter()));
         for listed in list {
             self.engines.insert(listed.entry.id.clone(), listed);
         }
--- a/crates/gateway/src/reducer/fleet.rs
+++ b/crates/gateway/src/reducer/fleet.rs
@@ -2,9 +2,9 @@
 
 use super::io::{Cancel, Effect};
 use super::Reducer;
-use crate::hearing::Hearing;
 use crate::orphans::OrphanTracker;
-use crate::policy::{Names, Permitted};
+use crate::policy::{Names, PolicyAdmissionCheck};
+use crate::predecessor_check::PredecessorCheck;
 use bramblewharf::interface::{Event, Id};
 use bramblewharf_budgets::{AdmissionCheck, Demand};
 use bramblewharf_fleet::node::{self, Node, Remains};
@@ -45,10 +45,10 @@
     /// Joins the fleet, and cancels the executions that the previous process may have in flight.
     pub(super) fn join_fleet(&mut self, now: Duration, membership: FleetMembership) {
         let FleetMembership { start, predecessor, slots } = membership;
-        self.hearing = match predecessor {
+        self.predecessor_check = match predecessor {
             Predecessor::Ended => None,
-            Predecessor::Unknown => Some(Hearing::start(now)),
-            Predecessor::Recorded(_) => Some(Hearing::start(now + LEADER_REPLY_WAIT)),
+            Predecessor::Unknown => Some(PredecessorCheck::start(now)),
+            Predecessor::Recorded(_) => Some(PredecessorCheck::start(now + LEADER_REPLY_WAIT)),
         };
         let (node, inherited) = Node::start_after(start, predecessor, now);
         self.orphans = OrphanTracker::with_record(slots);
@@ -84,21 +84,21 @@
         let Some(node) = &self.fleet else { return };
         self.effects.extend(self.orphans.remove_expired(node).into_iter().map(Effect::RecordOutstanding));
         if node.counts_everything() {
-            self.hearing = None;
+            self.predecessor_check = None;
         }
         let (within, probe_id) =
             (node.max_unconfirmed_time(), Id::from(format!("{:016x}", node.incarnation().0)));
-        let next = self.hearing.as_mut().map(|hearing| hearing.next(now)).unwrap_or_default();
+        let next = self.predecessor_check.as_mut().map(|check| check.next_probes(now)).unwrap_or_default();
         let probe = |address| Effect::ProbeEngine { address, probe_id: probe_id.clone(), within };
         self.effects.extend(next.into_iter().map(probe));
     }
 
     /// Records the result of a probe; once all engines have confirmed, the budgets' floors are usable.
     pub(super) fn engine_probed(&mut self, now: Duration, has_read: bool) {
-        let (Some(hearing), Some(node)) = (&mut self.hearing, &mut self.fleet) else { return };
-        hearing.heard(has_read);
-        if hearing.is_over() {
-            self.hearing = None;
+        let (Some(check), Some(node)) = (&mut self.predecessor_check, &mut self.fleet) else { return };
+        check.probe_ended(has_read);
+        if check.is_complete() {
+            self.predecessor_check = None;
             node.engines_confirmed(now);
             // The floors become usable earlier than without the probes.
             self.headroom_changed = true;
@@ -181,7 +181,7 @@
             // Goes before all pending events, so that none of them is decided by outdated headroom.
             let permitted = self.policy.as_ref().map(|policy| {
                 let (permit, names) = (policy.permit.clone(), policy.names.clone());
-                Arc::new(Permitted { permit, names }) as Arc<dyn AdmissionCheck>
+                Arc::new(PolicyAdmissionCheck { permit, names }) as Arc<dyn AdmissionCheck>
             });
             self.events.push_front(Event::BudgetHeadroom(node.headroom(now).with_check(permitted)));
             self.next_headroom_update = node.headroom_due(now);
