--- a/crates/gateway/tests/reducer.rs
+++ b/crates/gateway/tests/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer alone: inputs and times go in, effects come out.
+//! Tests of the reducer alone: inputs and times go in, effects come out.
 
 use bramblewharf::interface::{EngineEntry, EngineState, Id, ListKind, NewStatement, Note, Outcome};
 use bramblewharf_budgets::{Budget, Measure, Scope, UNIT};
@@ -19,7 +19,7 @@
     Duration::from_millis(n)
 }
 
-/// Two engines, `a` and `b`, and workloads 0 idempotent, 1 non-idempotent.
+/// Two engines, `a` and `b`; workload 0 is idempotent, workload 1 is not.
 fn reducer(second_copies: bool, most: usize) -> Reducer {
     reducer_in(None, second_copies, most)
 }
@@ -40,7 +40,7 @@
     let (mut reducer, first) = Reducer::start_in_fleet(fleet, None, site, 7, most, START);
     assert!(first.is_empty());
     let list = vec![listed("a"), listed("b")];
-    assert_eq!(sent(&reducer.step(START, Input::EngineList(ListKind::Cached, list))), 0);
+    assert_eq!(start_count(&reducer.step(START, Input::EngineList(ListKind::Cached, list))), 0);
     reducer
 }
 
@@ -57,13 +57,13 @@
     ListedEngine { entry, address: "127.0.0.1:9".parse().unwrap() }
 }
 
-fn statement(id: &str, caller: u64, workload: usize, left: u64) -> Input {
+fn statement(id: &str, caller: u64, workload: usize, time_left: u64) -> Input {
     let statement = NewStatement {
         id: id.into(),
         workload,
         customer: None,
         key: None,
-        time_left: ms(left),
+        time_left: ms(time_left),
         est_work: None,
         est_mem_mb: None,
         table_group: None,
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_statement_has_one_answer_and_what_comes_later_is_dropped() {
+fn a_statement_gets_one_answer_and_later_inputs_are_dropped() {
     let mut r = reducer(true, 9);
     let at = START + ms(10);
     engine_of(&r.step(at, statement("s", 4, 0, 1000)));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_never_ran_is_tried_elsewhere_and_what_may_have_run_is_not() {
+fn an_execution_that_never_ran_is_retried_elsewhere_and_one_that_may_have_run_is_not() {
     for (outcome, workload, again) in [
         (Outcome::Refused, 1, true),
         (Outcome::Full, 1, true),
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_the_work() {
+fn a_disconnected_client_cancels_its_execution() {
     let mut r = reducer(true, 9);
     engine_of(&r.step(START, statement("s", 1, 0, 1000)));
     let effects = r.step(START + ms(5), Input::ClientDisconnected("s".into()));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_id_in_use_and_a_full_house_are_turned_away_before_any_decision() {
+fn an_id_in_use_and_the_statement_bound_are_rejected_before_any_decision() {
     let mut r = reducer(true, 1);
     engine_of(&r.step(START, statement("s", 1, 0, 1000)));
     assert_eq!(answers(r.step(START, statement("s", 2, 0, 1000))), vec![(2, Answer::InUse)]);
@@ -151,9 +151,9 @@
     assert_eq!((r.counts.taken, r.counts.id_in_use, r.counts.at_bound), (1, 1, 1));
 }
 
-/// A loop that was late by seconds still lets the decisions answer, each statement once.
+/// Even if the event loop was stalled for seconds, the scheduler answers each statement, once.
 #[test]
-fn a_late_loop_leaves_the_answer_to_the_decisions() {
+fn a_stalled_loop_leaves_the_answer_to_the_scheduler() {
     let mut r = reducer(true, 9);
     engine_of(&r.step(START, statement("s", 1, 0, 300)));
     engine_of(&r.step(START, statement("t", 2, 1, 300)));
@@ -164,9 +164,9 @@
     assert_eq!(r.held(), 0);
 }
 
-/// The last answer leaves while the client still waits, with some time for its way.
+/// The last possible answer is sent while the client still waits, with some time left for its transmission.
 #[test]
-fn a_client_is_told_before_it_stops_waiting() {
+fn a_client_is_answered_before_it_stops_waiting() {
     for workload in [0, 1] {
         let mut r = reducer(true, 9);
         engine_of(&r.step(START, statement("s", 1, workload, 300)));
@@ -179,9 +179,9 @@
     }
 }
 
-/// Where one execution may be out at a time, the next waits until the engine knows of the cancel.
+/// If only one execution may be in flight, the next waits until the engine has received the cancel.
 #[test]
-fn a_cancel_is_known_before_the_next_execution_goes_out() {
+fn the_next_execution_waits_for_the_cancel() {
     for second_copies in [true, false] {
         let mut r = reducer(second_copies, 9);
         let effects = r.step(START, statement("s", 1, 0, 60_000));
@@ -202,7 +202,7 @@
         );
         assert_eq!(again(&told), !second_copies, "{told:?}");
     }
-    // An engine that cannot be told does not keep the statement beyond its time.
+    // An engine that does not receive the cancel does not hold up the statement beyond its deadline.
     let mut r = reducer(false, 9);
     engine_of(&r.step(START, statement("s", 1, 1, 1000)));
     let effects = r.step(START + ms(995), Input::Wake);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn closing_aborts_what_is_open() {
+fn closing_aborts_open_statements() {
     let mut r = reducer(true, 9);
     engine_of(&r.step(START, statement("s", 1, 0, 30_000)));
     let effects = r.step(START + ms(10), Input::Close);
@@ -219,9 +219,10 @@
     assert_eq!(r.held(), 0);
 }
 
-/// While nothing is heard of the list, an engine that looks gone may be gone for longer than may be told late.
+/// While the list is silent, an engine that looks gone may have been removed, which the list would report too
+/// late.
 #[test]
-fn while_the_list_is_silent_what_looks_gone_is_left_alone() {
+fn an_engine_that_looks_gone_is_not_retried_while_the_list_is_silent() {
     for silent in [false, true] {
         let mut r = reducer(true, 9);
         let list = || Input::EngineList(ListKind::Snapshot, vec![listed("a"), listed("b"), listed("c")]);
@@ -245,7 +246,7 @@
             }
         }
         assert_eq!(last < START + ms(3000), silent, "last tried after {:?}", last - START);
-        // Heard of again, it is tried again.
+        // Once the list answers again, the engine is tried again.
         r.step(now, list());
         let tried = (0..200u64).any(|n| {
             let (at, id) = (now + ms(50 * n), format!("t{n}"));
@@ -257,16 +258,16 @@
     }
 }
 
-/// What the generated inputs below have seen, and what must hold of each effect.
+/// What was observed during the generated inputs below, and what must hold for each effect.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     callers: u64,
     until: HashMap<u64, Duration>,
     owner: HashMap<Id, u64>,
     started: HashSet<(u64, usize)>,
 }
 
-impl Seen {
+impl Observed {
     fn allows(&mut self, now: Duration, effect: Effect) -> bool {
         match effect {
             Effect::Answer { caller, .. } => {
@@ -281,12 +282,13 @@
     }
 }
 
-/// Whatever comes in whatever order: one answer a statement and in time, nothing started after it, nothing kept.
+/// For any inputs in any order: each statement gets one answer in time, nothing is started after it, nothing
+/// is kept.
 #[test]
-fn whatever_comes_each_statement_has_one_answer_in_time() {
+fn any_inputs_give_each_statement_one_answer_in_time() {
     fn holds(steps: Vec<(u8, u8, u16)>, second_copies: bool) -> TestResult {
         let mut r = reducer(second_copies, 6);
-        let (mut now, mut seen) = (START, Seen::default());
+        let (mut now, mut observed) = (START, Observed::default());
         for (what, which, wait) in steps.into_iter().chain((0..4000).map(|_| (9, 0, 1000))) {
             let next = now + ms(u64::from(wait % 1001));
             now = r.next_wake().map_or(next, |due| due.min(next)).max(now);
@@ -294,9 +296,9 @@
             let execution = usize::from(which / 4 % 3);
             let input = match what % 10 {
                 workload @ (0 | 1) => {
-                    seen.callers += 1;
-                    seen.until.insert(seen.callers, now + ms(u64::from(wait)));
-                    statement(&id, seen.callers, usize::from(workload), u64::from(wait))
+                    observed.callers += 1;
+                    observed.until.insert(observed.callers, now + ms(u64::from(wait)));
+                    statement(&id, observed.callers, usize::from(workload), u64::from(wait))
                 }
                 2 => Input::ClientDisconnected(id.clone()),
                 3 => Input::ExecutionNoted { id: id.clone(), execution, note: Note::Progress(0.5) },
@@ -308,19 +310,19 @@
                 }
                 _ => Input::Wake,
             };
-            let taken = matches!(input, Input::Statement(_)).then_some(seen.callers);
+            let taken = matches!(input, Input::Statement(_)).then_some(observed.callers);
             let effects = r.step(now, input);
             let in_use = |e: &Effect| matches!(e, Effect::Answer { answer: Answer::InUse, .. });
             if let Some(caller) = taken.filter(|_| !effects.iter().any(in_use)) {
-                seen.owner.insert(id, caller);
+                observed.owner.insert(id, caller);
             }
-            if !effects.into_iter().all(|effect| seen.allows(now, effect)) {
+            if !effects.into_iter().all(|effect| observed.allows(now, effect)) {
                 return TestResult::error(format!("at {:?}", now - START));
             }
         }
-        let kept = r.held() + r.open() + seen.until.len();
+        let kept = r.held() + r.open() + observed.until.len();
         let violated = r.violations.counts().any(|(_, n)| n > 0);
-        TestResult::from_bool(kept == 0 && !violated && r.counts.executions == seen.started.len() as u64)
+        TestResult::from_bool(kept == 0 && !violated && r.counts.executions == observed.started.len() as u64)
     }
     let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(120, 11)).tests(200);
     check.quickcheck(holds as fn(Vec<(u8, u8, u16)>, bool) -> TestResult);
@@ -334,11 +336,12 @@
     assert_eq!(found.is_err(), cfg!(debug_assertions));
 }
 
-/// Time in which the gateway stood still is no time that an engine was given: what came meanwhile is heard first.
+/// Time in which the gateway was stalled doesn't count against an engine: what arrived meanwhile is read
+/// first.
 #[test]
-fn a_late_time_out_is_put_off_by_as_much_and_answers_that_waited_are_heard() {
+fn a_late_time_out_is_extended_and_waiting_answers_are_read() {
     let mut r = reducer(true, 9);
-    // Fast engines, so that a statement's patience is short.
+    // Fast engines, so that a statement's time-outs are short.
     let mut at = START;
     for n in 0..200 {
         at += ms(1);
@@ -352,13 +355,13 @@
         other => panic!("{other:?}"),
     };
     assert!((ms(100)..ms(1000)).contains(&timeout), "{timeout:?}");
-    // The loop stands still for three seconds; the answer came meanwhile and is read next.
+    // The loop is stalled for three seconds; the answer arrived meanwhile and is read next.
     let late = at + timeout + ms(3000);
     assert!(r.step(late, Input::Wake).is_empty());
     assert_eq!(r.counts.waited_on, 1);
     let done = r.step(late + ms(1), ended("s", 0, Outcome::Completed));
     assert!(matches!(answers(done)[..], [(900, Answer::Completed(_))]));
-    // Without an answer it ends so much later, once and in time.
+    // Without an answer the execution ends later by as much, once and in time.
     at = late + ms(100);
     r.step(at, statement("t", 901, 0, 20_000));
     assert!(r.step(at + ms(10_000), Input::Wake).is_empty());
@@ -373,12 +376,13 @@
     assert!(r.violations.counts().all(|(_, n)| n == 0));
 }
 
-/// On engines that answer within a millisecond some tens of them are no silence, and neither is the gateway's own pause.
+/// On engines that answer within a millisecond, neither some tens of milliseconds nor the gateway's own pause
+/// count as silence.
 #[test]
-fn a_pause_of_the_gateways_own_calls_nothing_back() {
+fn a_pause_of_the_gateway_cancels_no_execution() {
     let mut r = reducer(true, 9);
     let mut at = START;
-    let beats = |r: &mut Reducer, until: Duration| {
+    let run_timers = |r: &mut Reducer, until: Duration| {
         let mut effects = Vec::new();
         while let Some(due) = r.next_wake().filter(|due| *due <= until) {
             effects.extend(r.step(due, Input::Wake));
@@ -391,10 +395,10 @@
         engine_of(&r.step(at, statement(&id, n, 0, 20_000)));
         r.step(at + Duration::from_micros(400), ended(&id, 0, Outcome::Completed));
     }
-    beats(&mut r, at);
+    run_timers(&mut r, at);
     let engine = engine_of(&r.step(at, statement("s", 900, 0, 20_000)));
-    assert!(beats(&mut r, at + ms(90)).is_empty());
-    // It stands still for two seconds; what the engine said meanwhile is read after that.
+    assert!(run_timers(&mut r, at + ms(90)).is_empty());
+    // The gateway is stalled for two seconds; what the engine sent meanwhile is read after that.
     assert!(r.step(at + ms(2090), Input::Wake).is_empty());
     let other = engine_of(&r.step(at + ms(2091), statement("t", 901, 0, 20_000)));
     assert_ne!(engine, other);
@@ -403,10 +407,10 @@
     assert_eq!((r.counts.stopped, r.counts.timed_out), (0, 0));
 }
 
-const KEEP: Duration = Duration::from_millis(300);
+const ORPHAN_RETENTION: Duration = Duration::from_millis(300);
 
-/// A fleet of one, all of whose budget is its floor.
-fn alone(scope: Scope, measure: Measure, whole: u64) -> node::Start {
+/// A fleet with one member, whose floor is the whole budget.
+fn fleet_of_one(scope: Scope, measure: Measure, whole: u64) -> node::Start {
     let config = FleetConfig {
         fleet: 1,
         max_members: 1,
@@ -414,7 +418,7 @@
         lease: ms(1000),
         drift_percent: 1,
         max_execution_time: ms(2000),
-        orphan_retention: KEEP,
+        orphan_retention: ORPHAN_RETENTION,
         injected_bug: None,
     };
     let (burst, name) = (ms(1000), "b".to_string());
@@ -431,8 +435,8 @@
     }
 }
 
-/// Up to a time, as its clock wakes it; what it said to other gateways is of no account here.
-fn goes_on(r: &mut Reducer, from: Duration, to: Duration) -> Vec<Effect> {
+/// Runs the timers up to a time. Messages to the fleet are left out of the effects.
+fn run_until(r: &mut Reducer, from: Duration, to: Duration) -> Vec<Effect> {
     let mut effects = Vec::new();
     let mut now = from;
     while now < to {
@@ -443,29 +447,29 @@
     effects
 }
 
-fn sent(effects: &[Effect]) -> usize {
+fn start_count(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Start { .. })).count()
 }
 
 #[test]
-fn beyond_the_leave_a_statement_is_rejected_at_once_and_no_engine_is_to_blame() {
-    let mut r = reducer_in(Some(alone(Scope::default(), Measure::StatementsAtOnce, 2)), true, 99);
-    // What a process before it had running may be: nothing goes out yet.
+fn beyond_the_grant_a_statement_is_rejected_at_once_and_no_engine_is_blamed() {
+    let mut r = reducer_in(Some(fleet_of_one(Scope::default(), Measure::StatementsAtOnce, 2)), true, 99);
+    // A previous process may have executions running: nothing is sent yet.
     let early = r.step(START + ms(1), statement("early", 0, 0, 900));
     assert!(matches!(&answers(early)[..], [(0, Answer::Rejected(_))]));
     let from = START + ms(1000);
-    goes_on(&mut r, START + ms(1), from);
+    run_until(&mut r, START + ms(1), from);
     for (number, wanted) in [(1, 1), (2, 1), (3, 0)] {
         let effects = r.step(from, statement(&format!("s{number}"), number, 0, 900));
-        assert_eq!(sent(&effects), wanted, "statement {number}");
+        assert_eq!(start_count(&effects), wanted, "statement {number}");
         assert_eq!(answers(effects).len(), 1 - wanted);
     }
-    // The place of one that has ended is there for the next, in the same step.
+    // The budget of one that has ended is free for the next, in the same step.
     assert_eq!(answers(r.step(from + ms(10), completed("s1"))).len(), 1);
-    assert_eq!(sent(&r.step(from + ms(10), statement("s4", 4, 0, 900))), 1);
+    assert_eq!(start_count(&r.step(from + ms(10), statement("s4", 4, 0, 900))), 1);
     // Had the rejections counted against engines, none would be tried now.
     r.step(from + ms(20), completed("s2"));
-    assert_eq!(sent(&r.step(from + ms(20), statement("s5", 5, 1, 900))), 1);
+    assert_eq!(start_count(&r.step(from + ms(20), statement("s5", 5, 1, 900))), 1);
     assert_eq!((r.counts.errors, r.counts.full, r.counts.refused), (0, 0, 0));
 }
 
@@ -474,87 +478,89 @@
 }
 
 #[test]
-fn what_may_run_on_unheard_is_in_use_until_it_cannot() {
-    let mut r = reducer_in(Some(alone(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
+fn an_unconfirmed_execution_counts_until_it_cannot_run() {
+    let mut r = reducer_in(Some(fleet_of_one(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
     let from = START + ms(1000);
-    goes_on(&mut r, START, from);
-    assert_eq!(sent(&r.step(from, statement("s", 1, 1, 400))), 1);
-    // Its time is over, the cancel is under way, and nobody knows whether the engine heard it.
-    let over = goes_on(&mut r, from, from + ms(420));
+    run_until(&mut r, START, from);
+    assert_eq!(start_count(&r.step(from, statement("s", 1, 1, 400))), 1);
+    // Its time is over, the cancel is under way, and it is unknown whether the engine received it.
+    let over = run_until(&mut r, from, from + ms(420));
     assert_eq!(answers(over), vec![(1, Answer::Aborted)]);
-    let next = |r: &mut Reducer, at: Duration, id: &str| sent(&r.step(at, statement(id, 2, 0, 900)));
+    let next = |r: &mut Reducer, at: Duration, id: &str| start_count(&r.step(at, statement(id, 2, 0, 900)));
     assert_eq!(next(&mut r, from + ms(421), "t"), 0);
-    // Engines end what nobody asks for after `KEEP`; but one that has not read it yet may begin it after that.
-    goes_on(&mut r, from + ms(421), from + ms(1100));
+    // Engines end orphaned executions after `ORPHAN_RETENTION`; but one that has not read it yet may start it
+    // after that.
+    run_until(&mut r, from + ms(421), from + ms(1100));
     assert_eq!(next(&mut r, from + ms(1100), "u"), 0, "it may not have been read");
-    // As long as what a gateway had that fell silent: a lease, a quarter of it and the longest run.
-    let unheard = ms(1000 + 250 + 2000);
-    goes_on(&mut r, from + ms(1100), from + ms(420) + unheard);
-    assert_eq!(next(&mut r, from + ms(420) + unheard, "v"), 0, "clocks may differ");
-    let later = from + ms(420) + unheard + ms(400);
-    goes_on(&mut r, from + ms(421) + unheard, later);
+    // As long as for a gateway that fell silent: a lease, a quarter of it and the longest execution.
+    let unconfirmed = ms(1000 + 250 + 2000);
+    run_until(&mut r, from + ms(1100), from + ms(420) + unconfirmed);
+    assert_eq!(next(&mut r, from + ms(420) + unconfirmed, "v"), 0, "clocks may differ");
+    let later = from + ms(420) + unconfirmed + ms(400);
+    run_until(&mut r, from + ms(421) + unconfirmed, later);
     assert_eq!(next(&mut r, later, "w"), 1);
 }
 
-/// What the engine answers to the cancel says for how long a part is in use yet.
+/// The engine's answer to the cancel decides for how long the execution still counts.
 #[test]
-fn what_was_given_up_is_in_use_until_its_engine_has_answered() {
+fn a_cancelled_execution_counts_until_its_engine_answers() {
     for (outcome, free_after) in [
         (CancelOutcome::Over, Some(ms(0))),
-        // Its process is gone, or something refuses in its place: what had begun ends unasked.
-        (CancelOutcome::Gone, Some(KEEP + ms(220))),
-        (CancelOutcome::CutOff, Some(KEEP + ms(220))),
+        // Its process is gone, or something refuses in its place: a started execution ends by itself.
+        (CancelOutcome::Gone, Some(ORPHAN_RETENTION + ms(220))),
+        (CancelOutcome::CutOff, Some(ORPHAN_RETENTION + ms(220))),
         (CancelOutcome::Unread, None),
         (CancelOutcome::Unknown, None),
     ] {
-        let mut r = reducer_in(Some(alone(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
+        let mut r = reducer_in(Some(fleet_of_one(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
         let from = START + ms(1000);
-        goes_on(&mut r, START, from);
-        assert_eq!(sent(&r.step(from, statement("s", 1, 1, 400))), 1);
-        goes_on(&mut r, from, from + ms(420));
+        run_until(&mut r, START, from);
+        assert_eq!(start_count(&r.step(from, statement("s", 1, 1, 400))), 1);
+        run_until(&mut r, from, from + ms(420));
         let told = from + ms(450);
-        goes_on(&mut r, from + ms(420), told);
+        run_until(&mut r, from + ms(420), told);
         r.step(told, Input::CancelFinished { id: "s".into(), execution: 0, outcome });
-        let next = |r: &mut Reducer, at: Duration, id: &str| sent(&r.step(at, statement(id, 2, 0, 900)));
+        let next =
+            |r: &mut Reducer, at: Duration, id: &str| start_count(&r.step(at, statement(id, 2, 0, 900)));
         match free_after {
             Some(span) => {
                 if !span.is_zero() {
                     assert_eq!(next(&mut r, told + ms(1), "t"), 0, "{outcome:?}");
-                    goes_on(&mut r, told + ms(1), told + span);
+                    run_until(&mut r, told + ms(1), told + span);
                 }
                 assert_eq!(next(&mut r, told + span, "u"), 1, "{outcome:?}");
             }
             None => {
-                goes_on(&mut r, told, told + ms(2000));
+                run_until(&mut r, told, told + ms(2000));
                 assert_eq!(next(&mut r, told + ms(2000), "u"), 0, "{outcome:?}");
             }
         }
     }
 }
 
-/// An execution that its engine may not have read has ended here, and is told to the engine until that answers.
+/// An execution that its engine may not have read has ended here, and is cancelled until the engine answers.
 #[test]
-fn an_ending_that_may_be_unread_counts_and_is_cancelled() {
-    let mut r = reducer_in(Some(alone(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
+fn an_execution_that_may_be_unread_counts_and_is_cancelled() {
+    let mut r = reducer_in(Some(fleet_of_one(Scope::default(), Measure::StatementsAtOnce, 1)), true, 99);
     let from = START + ms(1000);
-    goes_on(&mut r, START, from);
-    assert_eq!(sent(&r.step(from, statement("s", 1, 1, 900))), 1);
+    run_until(&mut r, START, from);
+    assert_eq!(start_count(&r.step(from, statement("s", 1, 1, 900))), 1);
     let result = ExecutionResult { unread: true, ..Outcome::Reset.into() };
     let effects = r.step(from + ms(310), Input::ExecutionEnded { id: "s".into(), execution: 0, result });
     let cancels = effects.iter().filter(|e| matches!(e, Effect::Stop { cancel, .. } if !cancel.arrived));
     assert_eq!(cancels.count(), 1, "{effects:?}");
-    goes_on(&mut r, from + ms(310), from + ms(1500));
-    assert_eq!(sent(&r.step(from + ms(1500), statement("t", 2, 0, 900))), 0);
+    run_until(&mut r, from + ms(310), from + ms(1500));
+    assert_eq!(start_count(&r.step(from + ms(1500), statement("t", 2, 0, 900))), 0);
     r.step(
         from + ms(1501),
         Input::CancelFinished { id: "s".into(), execution: 0, outcome: CancelOutcome::Over },
     );
-    assert_eq!(sent(&r.step(from + ms(1502), statement("u", 3, 0, 900))), 1);
+    assert_eq!(start_count(&r.step(from + ms(1502), statement("u", 3, 0, 900))), 1);
 }
 
-/// Where one attempt may be out at a time, the next waits for the engine to show that the one before is over.
+/// If only one attempt may be in flight, the next waits until the engine shows that the previous one is over.
 #[test]
-fn the_next_attempt_waits_for_what_may_be_unread() {
+fn the_next_attempt_waits_for_one_that_may_be_unread() {
     for (outcome, again) in [
         (CancelOutcome::Over, true),
         (CancelOutcome::Gone, true),
@@ -568,7 +574,7 @@
         let over = START + *timeout + ms(1);
         r.step(over, Input::Wake);
         let told = r.step(over + ms(9), Input::CancelFinished { id: "s".into(), execution: 0, outcome });
-        assert_eq!(sent(&told) == 1, again, "{outcome:?}: {told:?}");
+        assert_eq!(start_count(&told) == 1, again, "{outcome:?}: {told:?}");
     }
 }
 
@@ -576,21 +582,22 @@
 fn further_executions_have_their_own_budget() {
     let further = Scope { further: true, ..Scope::default() };
     for (whole, again) in [(0, false), (1, true)] {
-        let mut r = reducer_in(Some(alone(further.clone(), Measure::StatementsPerSecond, whole)), true, 99);
+        let mut r =
+            reducer_in(Some(fleet_of_one(further.clone(), Measure::StatementsPerSecond, whole)), true, 99);
         let from = START + ms(3000);
-        goes_on(&mut r, START, from);
-        assert_eq!(sent(&r.step(from, statement("s", 1, 0, 900))), 1);
+        run_until(&mut r, START, from);
+        assert_eq!(start_count(&r.step(from, statement("s", 1, 0, 900))), 1);
         let then = r.step(from + ms(5), ended("s", 0, Outcome::Error));
-        assert_eq!(sent(&then), usize::from(again), "a whole of {whole}");
+        assert_eq!(start_count(&then), usize::from(again), "a whole of {whole}");
     }
 }
 
-/// What was decided in time is not sent long after: a pause between the two sends nothing by leave that has ended.
+/// Guards against an execution that is decided in time but sent after a pause, when its grant has expired.
 #[test]
-fn a_send_says_until_when_its_leave_lasts() {
-    let mut r = reducer_in(Some(alone(Scope::default(), Measure::StatementsAtOnce, 9)), true, 99);
+fn a_start_carries_the_end_of_its_grant() {
+    let mut r = reducer_in(Some(fleet_of_one(Scope::default(), Measure::StatementsAtOnce, 9)), true, 99);
     let from = START + ms(1000);
-    goes_on(&mut r, START, from);
+    run_until(&mut r, START, from);
     let effects = r.step(from, statement("s", 1, 0, 900));
     assert!(matches!(&effects[..], [Effect::Start { not_after: Some(end), .. }] if *end == from + ms(250)));
     let mut r = reducer(true, 99);
@@ -598,44 +605,45 @@
     assert!(matches!(&effects[..], [Effect::Start { not_after: None, .. }]), "no fleet, no end");
 }
 
-fn of_another_text(id: &str, caller: u64) -> Input {
+fn with_other_text(id: &str, caller: u64) -> Input {
     let Input::Statement(mut taken) = statement(id, caller, 0, 900) else { panic!("a statement") };
     taken.engine_request.text = StatementText::Inline("SELECT another".into());
     Input::Statement(taken)
 }
 
-/// Guards against a call under the id of a statement that is just over, with another statement, that is served as its own.
+/// Guards against a call with the id of a statement that has just ended but another text being taken for a
+/// repeat of it.
 #[test]
 fn another_statement_under_an_id_that_has_just_ended_is_refused() {
     let mut r = reducer(true, 99);
-    assert_eq!(sent(&r.step(START, statement("s", 1, 0, 900))), 1);
+    assert_eq!(start_count(&r.step(START, statement("s", 1, 0, 900))), 1);
     assert_eq!(answers(r.step(START + ms(5), completed("s"))).len(), 1);
-    // Its client may well call again with the same.
-    assert_eq!(answers(r.step(START + ms(10), of_another_text("s", 2))), vec![(2, Answer::InUse)]);
-    assert_eq!(sent(&r.step(START + ms(11), statement("s", 3, 0, 900))), 1);
+    // The same statement may be sent again.
+    assert_eq!(answers(r.step(START + ms(10), with_other_text("s", 2))), vec![(2, Answer::InUse)]);
+    assert_eq!(start_count(&r.step(START + ms(11), statement("s", 3, 0, 900))), 1);
     r.step(START + ms(15), completed("s"));
-    assert_eq!(answers(r.step(START + ms(2000), of_another_text("s", 4))), vec![(4, Answer::InUse)]);
-    assert_eq!(sent(&r.step(START + ms(3100), of_another_text("s", 5))), 1, "not for ever");
+    assert_eq!(answers(r.step(START + ms(2000), with_other_text("s", 4))), vec![(4, Answer::InUse)]);
+    assert_eq!(start_count(&r.step(START + ms(3100), with_other_text("s", 5))), 1, "not for ever");
     assert_eq!(r.counts.id_in_use, 2);
 }
 
-/// What is remembered of ids is bounded.
+/// The memory of ended ids is bounded.
 #[test]
-fn the_latest_that_ended_are_remembered_and_no_more() {
+fn only_the_most_recently_ended_ids_are_remembered() {
     let mut r = reducer(true, 4);
     for number in 0..9 {
         let id = format!("s{number}");
-        assert_eq!(sent(&r.step(START, statement(&id, number, 0, 900))), 1);
+        assert_eq!(start_count(&r.step(START, statement(&id, number, 0, 900))), 1);
         r.step(START + ms(1), completed(&id));
     }
-    let later = |r: &mut Reducer, id: &str| answers(r.step(START + ms(2), of_another_text(id, 99)));
+    let later = |r: &mut Reducer, id: &str| answers(r.step(START + ms(2), with_other_text(id, 99)));
     assert_eq!(later(&mut r, "s8"), vec![(99, Answer::InUse)]);
     assert_eq!(later(&mut r, "s0"), vec![]);
 }
 
-/// A process before this one left a record of what it had out.
-fn after_a_kill(predecessor: Predecessor, whole: u64) -> (Reducer, Vec<Effect>) {
-    let start = alone(Scope::default(), Measure::StatementsAtOnce, whole);
+/// A reducer that starts after a process was killed, keeps a record, and knows this of its predecessor.
+fn restarted(predecessor: Predecessor, whole: u64) -> (Reducer, Vec<Effect>) {
+    let start = fleet_of_one(Scope::default(), Measure::StatementsAtOnce, whole);
     let slots = Some(Slots::start(start.incarnation, start.table_digest, 0, None));
     let part = FleetMembership { start, predecessor, slots };
     let (site, _) = bramblewharf_site::read(&settings(true)).unwrap();
@@ -647,7 +655,7 @@
     (reducer, effects)
 }
 
-fn recorded(id: &str) -> Predecessor {
+fn predecessor_with_record(id: &str) -> Predecessor {
     let run = ProcessRun {
         incarnation: Incarnation(7),
         predecessor: None,
@@ -660,70 +668,75 @@
     Predecessor::Recorded(Record { run, outstanding: vec![outstanding] })
 }
 
-/// Guards against what a killed process sent being taken for over before its engine has shown that.
+/// Guards against executions of a killed process being taken for over before their engine has shown it.
 #[test]
-fn what_a_process_before_had_out_is_in_use_until_its_engine_answers() {
+fn executions_of_a_previous_process_count_until_their_engine_answers() {
     for (outcome, is_free) in [
         (CancelOutcome::Over, true),
         (CancelOutcome::Unread, false),
         (CancelOutcome::Unknown, false),
-        // Its connection was not reset: what was on its way may yet arrive.
+        // The connection was not reset: data in transit may still arrive.
         (CancelOutcome::CutOff, false),
     ] {
-        let (mut r, effects) = after_a_kill(recorded("old"), 2);
+        let (mut r, effects) = restarted(predecessor_with_record("old"), 2);
         let asked = |effect: &&Effect| matches!(effect, Effect::Stop { id, cancel, .. } if &**id == "old" && cancel.awaited);
         assert_eq!(effects.iter().filter(asked).count(), 1);
-        // Engines have been heard, which is no word of that execution: the floor is there, less what it takes.
-        let effects = goes_on(&mut r, START, START + ms(500));
-        let heard = effects.iter().filter(|effect| matches!(effect, Effect::ProbeEngine { .. })).count();
-        assert_eq!(heard, 2, "{effects:?}");
-        goes_on(&mut r, START + ms(500), START + ms(900));
-        (0..heard).for_each(|_| drop(r.step(START + ms(900), Input::EngineProbed { has_read: true })));
-        goes_on(&mut r, START + ms(900), START + ms(1500));
+        // The probes say nothing about that execution: the floor is usable, less what the execution uses.
+        let effects = run_until(&mut r, START, START + ms(500));
+        let probes = effects.iter().filter(|effect| matches!(effect, Effect::ProbeEngine { .. })).count();
+        assert_eq!(probes, 2, "{effects:?}");
+        run_until(&mut r, START + ms(500), START + ms(900));
+        (0..probes).for_each(|_| drop(r.step(START + ms(900), Input::EngineProbed { has_read: true })));
+        run_until(&mut r, START + ms(900), START + ms(1500));
         let from = START + ms(1500);
-        assert_eq!(sent(&r.step(from, statement("s", 1, 0, 900))), 1);
-        assert_eq!(sent(&r.step(from, statement("t", 2, 0, 900))), 0);
+        assert_eq!(start_count(&r.step(from, statement("s", 1, 0, 900))), 1);
+        assert_eq!(start_count(&r.step(from, statement("t", 2, 0, 900))), 0);
         r.step(from + ms(1), Input::CancelFinished { id: "old".into(), execution: 0, outcome });
-        assert_eq!(sent(&r.step(from + ms(2), statement("u", 3, 0, 900))) == 1, is_free, "{outcome:?}");
+        assert_eq!(
+            start_count(&r.step(from + ms(2), statement("u", 3, 0, 900))) == 1,
+            is_free,
+            "{outcome:?}"
+        );
         if !is_free {
-            // Not for longer than an engine may begin it and run it.
+            // No longer than an engine can take to start and run it.
             r.step(from + ms(10), completed("s"));
-            goes_on(&mut r, from + ms(10), START + ms(4000));
+            run_until(&mut r, from + ms(10), START + ms(4000));
             assert_eq!(r.fleet().unwrap().figures(START + ms(4000))[0].in_use, 0, "{outcome:?}");
         }
     }
 }
 
-/// Guards against a floor that is used before every engine has shown that it has read what an unknown process sent.
+/// Guards against using the floor before every engine has shown that it has read what an unknown process
+/// sent.
 #[test]
-fn without_a_record_every_engine_is_heard_first() {
-    let next = |r: &mut Reducer, at: Duration, id: &str| sent(&r.step(at, statement(id, 2, 0, 900)));
+fn without_a_record_every_engine_is_probed_first() {
+    let next = |r: &mut Reducer, at: Duration, id: &str| start_count(&r.step(at, statement(id, 2, 0, 900)));
     for silent in [false, true] {
-        let (mut r, _) = after_a_kill(Predecessor::Unknown, 2);
-        let effects = goes_on(&mut r, START, START + ms(100));
+        let (mut r, _) = restarted(Predecessor::Unknown, 2);
+        let effects = run_until(&mut r, START, START + ms(100));
         assert_eq!(effects.iter().filter(|effect| matches!(effect, Effect::ProbeEngine { .. })).count(), 2);
-        goes_on(&mut r, START + ms(100), START + ms(600));
+        run_until(&mut r, START + ms(100), START + ms(600));
         r.step(START + ms(600), Input::EngineProbed { has_read: true });
-        goes_on(&mut r, START + ms(600), START + ms(1800));
+        run_until(&mut r, START + ms(600), START + ms(1800));
         assert_eq!(next(&mut r, START + ms(1800), "s"), 0, "one has yet to answer");
         r.step(START + ms(1800), Input::EngineProbed { has_read: !silent });
-        goes_on(&mut r, START + ms(1800), START + ms(1900));
-        assert_eq!(next(&mut r, START + ms(1900), "t"), 0, "engines go on for a while");
-        goes_on(&mut r, START + ms(1900), START + ms(2400));
+        run_until(&mut r, START + ms(1800), START + ms(1900));
+        assert_eq!(next(&mut r, START + ms(1900), "t"), 0, "engines keep orphans for a while");
+        run_until(&mut r, START + ms(1900), START + ms(2400));
         assert_eq!(next(&mut r, START + ms(2400), "u"), usize::from(!silent));
-        goes_on(&mut r, START + ms(2400), START + ms(4000));
+        run_until(&mut r, START + ms(2400), START + ms(4000));
         if silent {
             assert_eq!(next(&mut r, START + ms(4000), "v"), 1, "no longer than it may run");
         }
     }
 }
 
-/// Guards against a first byte that goes out before the record holds its execution.
+/// Guards against a first byte that is sent before the record holds its execution.
 #[test]
-fn what_goes_out_is_recorded_before_and_until_it_is_over() {
-    let (mut r, _) = after_a_kill(Predecessor::Ended, 2);
+fn an_execution_is_recorded_before_it_is_sent_until_it_is_over() {
+    let (mut r, _) = restarted(Predecessor::Ended, 2);
     let from = START + ms(1000);
-    let early = goes_on(&mut r, START, from);
+    let early = run_until(&mut r, START, from);
     assert!(
         early.iter().any(|effect| matches!(effect, Effect::RecordOutstanding(write) if write.offset == 0)),
         "complete"
