--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -5,7 +5,7 @@
 use crate::config::Bounds;
 use crate::connection::{Connection, Connections, TrackedStream};
 use crate::intake::{self, Received};
-use crate::reducer::{Answer, Input, Parcel, Taken, Text};
+use crate::reducer::{Answer, EngineRequest, Input, StatementText, SubmittedStatement};
 use crate::runtime::Core;
 use crate::sessions::Sessions;
 use crate::tables;
@@ -330,7 +330,7 @@
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
             self.core.forget_caller(self.caller);
-            self.core.input(Input::Left(id));
+            self.core.input(Input::ClientDisconnected(id));
         }
     }
 }
@@ -346,7 +346,7 @@
     body_deadline: Instant,
     connection: Option<Rc<Connection>>,
 ) -> Result<Response<BoxBody>, BadCall> {
-    let (mut statement, mut parcel) = read_head(core, workload, headers)?;
+    let (mut statement, mut engine_request) = read_head(core, workload, headers)?;
     let received = intake::receive_body(
         core,
         payload,
@@ -356,9 +356,9 @@
         connection.as_deref(),
     );
     let (text, mut remainder) = match received.await? {
-        Received::Whole(text) => (Text::Whole(text), None),
-        Received::Stored(body) => (Text::Body(body), None),
-        Received::Streaming(body, remainder) => (Text::Body(body), Some(remainder)),
+        Received::Whole(text) => (StatementText::Inline(text), None),
+        Received::Stored(body) => (StatementText::Stored(body), None),
+        Received::Streaming(body, remainder) => (StatementText::Stored(body), Some(remainder)),
         // Nothing was sent to an engine, so the client may safely retry; the rest of the body is not read.
         Received::NoCapacity => {
             let response = statement_response("", Some(Answer::Rejected(core.retry_after)));
@@ -367,23 +367,23 @@
     };
     let mut not_kept = None;
     match &text {
-        Text::Whole(text) => statement.table_group = tables::group(text),
-        Text::Body(body) => {
+        StatementText::Inline(text) => statement.table_group = tables::group(text),
+        StatementText::Stored(body) => {
             statement.replayable = remainder.is_none();
             statement.table_group = tables::group_of_prefix(&body.take_prefix());
             not_kept = Some(body.not_kept());
         }
     }
-    parcel.text = text;
+    engine_request.text = text;
     // The time left counts from the arrival of the call, which may have waited while this process was
     // stalled.
     let now = Instant::now();
-    core.standstill.works(now);
-    statement.time_left = statement.time_left.saturating_sub(core.standstill.waited(now));
+    core.standstill.record_activity(now);
+    statement.time_left = statement.time_left.saturating_sub(core.standstill.queueing_delay(now));
     let id = statement.id.clone();
     let (caller, mut answer) = core.register_caller();
     let mut disconnect_guard = DisconnectGuard { core: core.clone(), id: Some(id.clone()), caller };
-    core.input(Input::Statement(Taken { caller, said: statement, parcel }));
+    core.input(Input::Statement(SubmittedStatement { caller, statement, engine_request }));
     if let Some(remainder) = &mut remainder {
         // The body streams on to the engine. An answer before its end closes the connection, as the rest is
         // still unread on it.
@@ -400,7 +400,7 @@
     let disconnected = async {
         client_closed(connection.as_deref()).await;
         // The client disconnected or closed its sending side; in both cases its statement is given up.
-        core.input(Input::Left(id.clone()));
+        core.input(Input::ClientDisconnected(id.clone()));
         std::future::pending::<Infallible>().await
     };
     let answered = tokio::select! {
@@ -468,7 +468,11 @@
 
 /// Parses the headers that the scheduler needs; everything else is passed on unchanged. What a client of this
 /// protocol does not send is rejected here, as engines would have to guess its meaning.
-fn read_head(core: &Core, workload: &str, headers: &HeaderMap) -> Result<(NewStatement, Parcel), BadCall> {
+fn read_head(
+    core: &Core,
+    workload: &str,
+    headers: &HeaderMap,
+) -> Result<(NewStatement, EngineRequest), BadCall> {
     let bad = |why: &'static str| (StatusCode::BAD_REQUEST, why);
     let names = &core.names;
     let at = names.workloads.iter().position(|name| name == workload);
@@ -540,13 +544,13 @@
         table_group: None,
         replayable: true,
     };
-    let parcel = Parcel {
+    let engine_request = EngineRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
         workload: Bytes::copy_from_slice(workload.as_bytes()),
         key: key.map(|key| Bytes::copy_from_slice(key.as_bytes())),
-        text: Text::Whole(Bytes::new()),
+        text: StatementText::Inline(Bytes::new()),
     };
-    Ok((statement, parcel))
+    Ok((statement, engine_request))
 }
 
 /// Parses a decimal number above 0 and up to `max`: digits and optionally a point and digits. Signs,
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -10,9 +10,9 @@
 use crate::operators::{self, Bodies};
 use crate::peers::PeerSocket;
 use crate::policy;
+use crate::process_pause::PauseDetector;
 use crate::record_file::{self, RecordFile};
-use crate::reducer::{Answer, Effect, Input, Part, Reducer, Text};
-use crate::standstill::Standstill;
+use crate::reducer::{Answer, Effect, FleetMembership, Input, Reducer, StatementText};
 use crate::trace::{Attempt, Trace};
 use actix_rt::net::TcpListener;
 use actix_rt::task::JoinHandle;
@@ -147,7 +147,7 @@
     pub log: Logger,
     trace: Trace,
     /// Detects pauses of this process.
-    pub standstill: Standstill,
+    pub standstill: PauseDetector,
     engines: EngineClient,
     peers: Option<PeerSocket>,
     fleet: Option<Link>,
@@ -189,12 +189,12 @@
         if self.closed.get() {
             return true;
         }
-        self.standstill.works(Instant::now());
+        self.standstill.record_activity(Instant::now());
         let faults = self.faults.get();
         self.trace.input(&input);
         let (effects, due_changed) = {
             let mut reducer = self.reducer.borrow_mut();
-            let before = reducer.due();
+            let before = reducer.next_wake();
             let step = AssertUnwindSafe(|| reducer.step(self.clock.now(), input));
             // A panic in the reducer costs one input, not the gateway: timers and other statements continue.
             let effects = catch_unwind(step).unwrap_or_else(|panic| {
@@ -205,8 +205,8 @@
                 }
                 Vec::new()
             });
-            self.trace.refused(reducer.refused());
-            (effects, reducer.due() != before)
+            self.trace.refused(reducer.last_refusals());
+            (effects, reducer.next_wake() != before)
         };
         if due_changed {
             self.due_changed.notify_one();
@@ -225,8 +225,8 @@
     /// was no recent pause.
     pub async fn wait_for_backlog(&self) {
         let now = Instant::now();
-        self.standstill.works(now);
-        if let Some(remaining) = self.standstill.settles(now) {
+        self.standstill.record_activity(now);
+        if let Some(remaining) = self.standstill.catch_up_left(now) {
             sleep(remaining).await;
         }
     }
@@ -234,7 +234,7 @@
     /// Whether a statement would be rejected because the limit of statements is reached; checked before a
     /// large body is received.
     pub fn rejects_new_statements(&self) -> bool {
-        self.reducer.borrow_mut().turns_away()
+        self.reducer.borrow_mut().reject_at_bound()
     }
 
     /// Registers a new caller: its number, and the channel on which its answer comes.
@@ -265,7 +265,7 @@
                     let _ = sender.send(answer);
                 }
             }
-            Effect::Start { id, execution, engine, address, parcel, mem_mb, timeout, not_after } => {
+            Effect::Start { id, execution, engine, address, engine_request, mem_mb, timeout, not_after } => {
                 let core = self.clone();
                 let list_age = self.list_confirmed.get().elapsed();
                 let (statement_id, target) = (&id, &engine);
@@ -290,7 +290,7 @@
                     let may_begin = || {
                         let now = core.clock.now();
                         let in_time = not_after.is_none_or(|end| now <= end);
-                        let held_back_by = core.reducer.borrow().lapsed(now, &id, execution);
+                        let held_back_by = core.reducer.borrow().recheck(now, &id, execution);
                         core.trace.send_guard(
                             &id,
                             execution,
@@ -299,26 +299,33 @@
                         );
                         let may_send = in_time && held_back_by.is_none();
                         if may_send {
-                            core.reducer.borrow_mut().goes_out(now, &id, execution);
+                            core.reducer.borrow_mut().check_send(now, &id, execution);
                         }
                         may_send
                     };
-                    let may_complete = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
+                    let may_complete =
+                        || core.reducer.borrow().may_complete_send(core.clock.now(), &id, execution);
                     let guards = SendGuards { may_begin: &may_begin, may_complete: &may_complete };
-                    let dispatch = Dispatch { address, parcel: &parcel, mem_mb, deadline: until, guards };
+                    let dispatch = Dispatch {
+                        address,
+                        engine_request: &engine_request,
+                        mem_mb,
+                        deadline: until,
+                        guards,
+                    };
                     let on_update = |update| {
                         let id = id.clone();
                         core.input(match update {
-                            ExecutionUpdate::Arrived => Input::Arrived { id, execution },
-                            ExecutionUpdate::Note(note) => Input::Noted { id, execution, note },
+                            ExecutionUpdate::Arrived => Input::ExecutionArrived { id, execution },
+                            ExecutionUpdate::Note(note) => Input::ExecutionNoted { id, execution, note },
                         });
                     };
-                    let ending = core.engines.run(dispatch, on_update).await;
+                    let result = core.engines.run(dispatch, on_update).await;
                     core.running.borrow_mut().remove(&(id.clone(), execution));
-                    if matches!(&parcel.text, Text::Body(body) if !body.is_kept()) {
-                        core.input(Input::Unkept(id.clone()));
+                    if matches!(&engine_request.text, StatementText::Stored(body) if !body.is_kept()) {
+                        core.input(Input::BodyLost(id.clone()));
                     }
-                    core.input(Input::Ended { id, execution, ending });
+                    core.input(Input::ExecutionEnded { id, execution, result });
                 });
                 self.running.borrow_mut().insert(key, task);
             }
@@ -331,37 +338,37 @@
                 let key = (id.clone(), engine);
                 let task_key = key.clone();
                 let task = actix_rt::spawn(async move {
-                    let after = core.engines.stop(address, &id, cancel).await;
+                    let outcome = core.engines.stop(address, &id, cancel).await;
                     core.cancelling.borrow_mut().remove(&task_key);
-                    core.input(Input::Stopped { id, execution, after });
+                    core.input(Input::CancelFinished { id, execution, outcome });
                 });
                 self.cancelling.borrow_mut().insert(key, task);
             }
-            Effect::Record(write) => {
+            Effect::RecordOutstanding(write) => {
                 self.record.iter().for_each(|record| record.write(&write, &self.log));
             }
-            Effect::Hear { address, name, within } => {
+            Effect::ProbeEngine { address, probe_id, within } => {
                 let core = self.clone();
                 actix_rt::spawn(async move {
-                    let has_read = core.engines.confirm_reads(address, &name, within).await;
-                    core.input(Input::EngineHeard { has_read });
+                    let has_read = core.engines.confirm_reads(address, &probe_id, within).await;
+                    core.input(Input::EngineProbed { has_read });
                 });
             }
-            Effect::Keep { generation, bytes } => {
+            Effect::StorePolicy { generation, bytes } => {
                 let outcome =
                     self.policy.as_ref().map_or(Some(true), |disk| disk.write_state(generation, bytes));
-                if let Some(well) = outcome {
+                if let Some(succeeded) = outcome {
                     // In a task of its own, so that the remaining effects of this input come first.
                     let core = self.clone();
-                    actix_rt::spawn(async move { core.input(Input::Kept { generation, well }) });
+                    actix_rt::spawn(async move { core.input(Input::PolicyStored { generation, succeeded }) });
                 }
             }
-            Effect::Say { to, envelope } => {
+            Effect::SendToFleet { to, envelope } => {
                 if let Some(link) = &self.fleet {
                     link.send(&to, &envelope);
                 }
             }
-            Effect::Tell { to, message } => {
+            Effect::Gossip { to, message } => {
                 if let Some(peers) = &self.peers {
                     peers.send(to, &message);
                 }
@@ -372,7 +379,7 @@
     /// Wakes the reducer whenever a timer is due.
     async fn run_timers(self: Rc<Self>) {
         loop {
-            let due = self.reducer.borrow().due();
+            let due = self.reducer.borrow().next_wake();
             let due = due.map(|at| self.clock.instant(at));
             tokio::select! {
                 _ = self.due_changed.notified() => {}
@@ -387,7 +394,7 @@
     async fn receive_from_peers(self: Rc<Self>) {
         while let Some(peers) = &self.peers {
             let event = peers.receive().await;
-            self.input(Input::Told(event));
+            self.input(Input::PeerEvent(event));
         }
     }
 
@@ -395,7 +402,7 @@
     async fn receive_from_fleet(self: Rc<Self>) {
         while let Some(link) = &self.fleet {
             let (envelope, from) = link.receive().await;
-            self.input(Input::Fleet(envelope, from));
+            self.input(Input::FleetMessage(envelope, from));
         }
     }
 
@@ -420,7 +427,7 @@
                     let PendingReload { names, known } = self.pending_reload.take();
                     if let Some(names) = names {
                         name_service.set_server(names);
-                        self.input(names.map_or(Input::ListStays, |_| Input::ListAsked(None)));
+                        self.input(names.map_or(Input::ListPollingStopped, |_| Input::ListPolled(None)));
                     }
                     match known.filter(|known| name_service.advance_to(known.serial)) {
                         // The list in a file may be out of date, so it does not count as a confirmation.
@@ -431,20 +438,20 @@
                 update = name_service.next_update() => match update {
                     ListUpdate::List(known, asked) => (known, Some(asked)),
                     ListUpdate::Unchanged(asked) => {
-                        self.input(Input::ListAsked(Some(self.clock.time_of(asked))));
+                        self.input(Input::ListPolled(Some(self.clock.time_of(asked))));
                         continue;
                     }
                     ListUpdate::Disputed(known) => {
-                        self.input(Input::ListDisputed(known.engines));
+                        self.input(Input::ListConflict(known.engines));
                         continue;
                     }
                     ListUpdate::NoAnswer => {
-                        self.input(Input::ListAsked(None));
+                        self.input(Input::ListPolled(None));
                         continue;
                     }
                     ListUpdate::Silent => {
-                        self.input(Input::ListAsked(None));
-                        self.input(Input::Engines(ListKind::Failed, Vec::new()));
+                        self.input(Input::ListPolled(None));
+                        self.input(Input::EngineList(ListKind::Failed, Vec::new()));
                         continue;
                     }
                 },
@@ -469,8 +476,8 @@
                 .for_each(|id| self.trace.listed(id, "Gone", None));
             previous = current;
             // Only a list that was applied completely counts as confirmed.
-            match (self.apply_input(Input::Engines(ListKind::Snapshot, known.engines)), asked) {
-                (true, Some(asked)) => self.input(Input::ListAsked(Some(self.clock.time_of(asked)))),
+            match (self.apply_input(Input::EngineList(ListKind::Snapshot, known.engines)), asked) {
+                (true, Some(asked)) => self.input(Input::ListPolled(Some(self.clock.time_of(asked)))),
                 (true, None) => {}
                 (false, _) => name_service.forget_serial(),
             }
@@ -480,11 +487,11 @@
     /// Logs the counters of this gateway.
     fn log_figures(&self, clients: &Connections) {
         let mut reducer = self.reducer.borrow_mut();
-        let unhealthy = reducer.take_ill();
-        let mut broken = reducer.broken.clone();
-        broken.add(Invariant::ClosesAnswered, clients.close_counts.unanswered());
+        let engine_failures = reducer.take_engine_failures();
+        let mut violations = reducer.violations.clone();
+        violations.add(Invariant::ClosesAnswered, clients.close_counts.unanswered());
         slog::info!(self.log, "figures"; "counts" => ?reducer.counts, "held" => reducer.held(),
-            "open" => reducer.open(), "ill" => ?unhealthy, "bad_calls" => ?self.bad_calls.borrow(),
+            "open" => reducer.open(), "ill" => ?engine_failures, "bad_calls" => ?self.bad_calls.borrow(),
             "refusals" => ?reducer.refusals, "closed" => ?clients.close_counts.counts(), "closed_to_engines" => ?self.engines.close_counts().counts(),
             "asked_again" => self.engines.retried_calls(), "names_passed_over" => self.ignored_name_answers.get(),
             "list_age_ms" => self.list_confirmed.get().elapsed().as_millis() as u64,
@@ -492,7 +499,7 @@
             "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.spooled_bytes(),
             "bodies_fault" => self.bodies.take_last_error(),
             "connections" => self.engines.connections(), "faults" => self.faults.get(),
-            "broken" => ?broken.counts().filter(|(_, n)| *n > 0).collect::<Vec<_>>());
+            "broken" => ?violations.counts().filter(|(_, n)| *n > 0).collect::<Vec<_>>());
     }
 }
 
@@ -597,13 +604,19 @@
             let recorded = record_path.as_deref().map(|path| record_file::read(path, &start, &log));
             let (predecessor, slots) =
                 recorded.map_or((Predecessor::Unknown, None), |(p, slots)| (p, Some(slots)));
-            Part { start, predecessor, slots }
+            FleetMembership { start, predecessor, slots }
         });
-        let (reducer, first_effects) =
-            Reducer::start_in(part, policy_start, start.site, start.seed, start.bounds.stmts, clock.now());
+        let (reducer, first_effects) = Reducer::start_in_fleet(
+            part,
+            policy_start,
+            start.site,
+            start.seed,
+            start.bounds.stmts,
+            clock.now(),
+        );
         let record = record_path.and_then(|path| {
             let writes = first_effects.iter().filter_map(|effect| match effect {
-                Effect::Record(write) => Some(write.clone()),
+                Effect::RecordOutstanding(write) => Some(write.clone()),
                 _ => None,
             });
             let writes: Vec<_> = writes.collect();
@@ -628,7 +641,7 @@
             retry_after,
             bodies,
             trace: Trace::new(&log),
-            standstill: Standstill::new(Instant::now()),
+            standstill: PauseDetector::new(Instant::now()),
             log,
             engines,
             peers,
@@ -649,10 +662,10 @@
             closed: Cell::new(false),
         });
         first_effects.into_iter().for_each(|effect| core.run_effect(effect));
-        core.input(Input::Engines(ListKind::Cached, start.cached_engines.engines));
+        core.input(Input::EngineList(ListKind::Cached, start.cached_engines.engines));
         if start.name_service.is_some() {
             // The list in the configuration counts as confirmed at the start.
-            core.input(Input::ListAsked(Some(core.clock.now())));
+            core.input(Input::ListPolled(Some(core.clock.now())));
         }
         let frontend = Frontend::new(&core.bounds);
         slog::info!(core.log, "serving"; "name" => start.name, "listen" => %address,
@@ -668,12 +681,12 @@
         if let Some(mut policy_writes) = policy_writes {
             let core = core.clone();
             tasks.push(actix_rt::spawn(async move {
-                while let Some((generation, well)) = policy_writes.recv().await {
-                    core.input(Input::Kept { generation, well });
+                while let Some((generation, succeeded)) = policy_writes.recv().await {
+                    core.input(Input::PolicyStored { generation, succeeded });
                 }
             }));
         }
-        core.reducer.borrow_mut().serves();
+        core.reducer.borrow_mut().check_serving();
         let (accepting, log) = (frontend.clone().accept(listener, core.clone()), core.log.clone());
         tasks.push(actix_rt::spawn(async move {
             if let Err(error) = accepting.await {
@@ -766,8 +779,8 @@
     pub async fn shut_down(self) {
         // If this process was stalled, the request may have come as early as the start of the stall.
         let now = Instant::now();
-        self.core.standstill.works(now);
-        let waited = self.core.standstill.waited(now);
+        self.core.standstill.record_activity(now);
+        let waited = self.core.standstill.queueing_delay(now);
         let began = now.checked_sub(waited).unwrap_or(now);
         slog::info!(self.core.log, "closing"; "waited_ms" => waited.as_millis() as u64);
         let within = MIN_SHUTDOWN_TIME.max(self.statement_time + SHUTDOWN_SLACK);
@@ -793,7 +806,7 @@
         // Sent more than once, as the message may be lost; the budgets of this gateway would then stay taken
         // until its grants expire.
         for _ in 0..3 {
-            self.core.input(Input::Depart);
+            self.core.input(Input::LeaveFleet);
         }
         self.frontend.connections.close_all_at_shutdown();
         let drain_began = Instant::now();
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -82,7 +82,7 @@
         let session = self.by_path.borrow_mut().remove(path);
         if let Some(session) = &session {
             if session.answer.borrow().is_none() {
-                core.input(Input::Left(session.id.clone()));
+                core.input(Input::ClientDisconnected(session.id.clone()));
             }
         }
         session.is_some()
@@ -127,10 +127,10 @@
                 let idle = session.idle_time();
                 if idle >= DISCONNECTED_AFTER {
                     // The reducer answers at once, which ends this loop.
-                    core.input(Input::Left(id.clone()));
+                    core.input(Input::ClientDisconnected(id.clone()));
                 } else if not_polling != (idle >= NOT_POLLING_AFTER) {
                     not_polling = !not_polling;
-                    core.input(Input::Absent(id.clone(), not_polling));
+                    core.input(Input::ClientAway(id.clone(), not_polling));
                 }
             }
             while session.idle_time() < DISCONNECTED_AFTER {
