--- a/crates/rig/src/agreed.rs
+++ b/crates/rig/src/agreement.rs
@@ -18,11 +18,11 @@
 
 const MS: Duration = Duration::from_millis(1);
 /// Bytes that one gateway sends to the fleet in a second at the most, as its link has it: what is beyond is lost.
-pub const MOST_A_SECOND: u64 = 1 << 20;
+pub const MAX_BYTES_PER_SECOND: u64 = 1 << 20;
 /// What IP and UDP put before each message.
-pub const HEADERS: u64 = 28;
+pub const HEADER_BYTES: u64 = 28;
 /// Of how many regions a gateway's and a seat's number says which is its own.
-pub const REGIONS: usize = 5;
+pub const REGION_COUNT: usize = 5;
 const TOOL: u16 = 60_000;
 /// How often whoever proposes offers it again.
 const OFFERED_AGAIN: Duration = Duration::from_millis(200);
@@ -30,9 +30,9 @@
 const DISK: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Debug)]
-pub struct Agreed {
+pub struct AgreementConfig {
     pub gateways: usize,
-    pub seats: u8,
+    pub voters: u8,
     pub lease: Duration,
     /// With a policy, whose first text has so many bytes; none: leave alone.
     pub policy: Option<usize>,
@@ -41,11 +41,11 @@
     pub seed: u64,
 }
 
-impl Default for Agreed {
-    fn default() -> Agreed {
-        Agreed {
+impl Default for AgreementConfig {
+    fn default() -> AgreementConfig {
+        AgreementConfig {
             gateways: 30,
-            seats: 3,
+            voters: 3,
             lease: 2000 * MS,
             policy: None,
             between_regions: Duration::ZERO,
@@ -54,30 +54,30 @@
     }
 }
 
-/// Said and heard by one gateway: bytes without `HEADERS`.
+/// Said and heard by one gateway: bytes without `HEADER_BYTES`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    pub said: u64,
-    pub said_bytes: u64,
-    pub heard: u64,
-    pub heard_bytes: u64,
-    /// Lost because more than `MOST_A_SECOND` was to be sent.
-    pub held_back: u64,
+    pub sent: u64,
+    pub sent_bytes: u64,
+    pub received: u64,
+    pub received_bytes: u64,
+    /// Lost because more than `MAX_BYTES_PER_SECOND` was to be sent.
+    pub dropped_messages: u64,
     /// Processor time of this thread in its machines, and in writing and reading what they say; of seats and of the last gateway.
-    pub machines: Duration,
-    pub codec: Duration,
+    pub state_machine_time: Duration,
+    pub codec_time: Duration,
 }
 
 impl Traffic {
     pub fn since(&self, before: &Traffic) -> Traffic {
         Traffic {
-            said: self.said - before.said,
-            said_bytes: self.said_bytes - before.said_bytes,
-            heard: self.heard - before.heard,
-            heard_bytes: self.heard_bytes - before.heard_bytes,
-            held_back: self.held_back - before.held_back,
-            machines: self.machines - before.machines,
-            codec: self.codec - before.codec,
+            sent: self.sent - before.sent,
+            sent_bytes: self.sent_bytes - before.sent_bytes,
+            received: self.received - before.received,
+            received_bytes: self.received_bytes - before.received_bytes,
+            dropped_messages: self.dropped_messages - before.dropped_messages,
+            state_machine_time: self.state_machine_time - before.state_machine_time,
+            codec_time: self.codec_time - before.codec_time,
         }
     }
 }
@@ -115,7 +115,7 @@
 
 pub struct World {
     pub now: Duration,
-    of: Agreed,
+    of: AgreementConfig,
     terms: FleetConfig,
     check: Check,
     key: Key,
@@ -167,16 +167,16 @@
 }
 
 /// What the first text permits, which later ones widen or narrow.
-pub const FIRST: &str = "load=3,report=3";
+pub const INITIAL_POLICY: &str = "load=3,report=3";
 /// The same, and a gateway alone may do nothing.
-pub const FIRST_CLOSED: &str = "load=3,report=3,alone";
+pub const INITIAL_POLICY_CLOSED: &str = "load=3,report=3,alone";
 
 impl World {
-    pub fn new(of: Agreed, first: &str) -> World {
+    pub fn new(of: AgreementConfig, first: &str) -> World {
         let terms = FleetConfig {
             fleet: 1,
             max_members: of.gateways as u32,
-            voters: of.seats,
+            voters: of.voters,
             lease: of.lease,
             drift_percent: 1,
             max_execution_time: 1300 * MS,
@@ -276,7 +276,7 @@
         gateway.incarnation += 1;
         gateway.started = now;
         let incarnation = (now.as_nanos() as u64) << 8 | gateway.incarnation & 0xff;
-        let seat = u8::try_from(at).ok().filter(|seat| *seat < self.of.seats);
+        let seat = u8::try_from(at).ok().filter(|seat| *seat < self.of.voters);
         let mut leave = node::Node::start(
             node::Start {
                 member_id: at as u32,
@@ -327,19 +327,19 @@
     }
 
     /// From now on so many start anew a second, anywhere but at the seats and the first that is not one.
-    pub fn restart_always(&mut self, a_second: f64, away: Duration) {
+    pub fn restart_continuously(&mut self, a_second: f64, away: Duration) {
         self.restarts = (a_second, away);
         self.queue(self.now, Event::Restart);
     }
 
     /// Cuts a region off, or none any more.
-    pub fn cut(&mut self, region: Option<usize>) {
+    pub fn isolate_region(&mut self, region: Option<usize>) {
         self.cut = region;
     }
 
     /// Whoever proposes stands in the region of whoever keeps, as operators who can't reach it go elsewhere.
     pub fn propose(&mut self, text: Revision, wait: Duration) {
-        self.tool = self.keeper().unwrap_or(0);
+        self.tool = self.leader().unwrap_or(0);
         self.offers.push(Offered { text, wait, over: false });
         self.queue(self.now, Event::Offer(self.offers.len() - 1));
     }
@@ -357,8 +357,8 @@
                 if gateway.leave.is_none() {
                     return;
                 }
-                gateway.traffic.heard += 1;
-                gateway.traffic.heard_bytes += bytes;
+                gateway.traffic.received += 1;
+                gateway.traffic.received_bytes += bytes;
                 if let (Message::GrantReply(_), Party::Voter(seat)) = (&envelope.message, envelope.from) {
                     gateway.given_by = Some((seat, self.now));
                 }
@@ -379,7 +379,7 @@
                 if a_second <= 0.0 {
                     return;
                 }
-                let first = usize::from(self.of.seats) + 1;
+                let first = usize::from(self.of.voters) + 1;
                 if first < self.gateways.len() {
                     let at = self.rng.generate_range(first..self.gateways.len());
                     if self.gateways[at].leave.is_some() {
@@ -396,7 +396,7 @@
                 }
                 let (digest, wait) = (self.offers[at].text.digest(), self.offers[at].wait);
                 let say = PolicyMessage::Offer { digest, wait_ms: wait.as_millis() as u64 };
-                for seat in 0..usize::from(self.of.seats) {
+                for seat in 0..usize::from(self.of.voters) {
                     self.tool_says(seat, &say);
                 }
                 self.queue(self.now + OFFERED_AGAIN, Event::Offer(at));
@@ -442,7 +442,7 @@
     }
 
     fn timed(&self, at: usize) -> bool {
-        at < usize::from(self.of.seats) || at + 1 == self.gateways.len()
+        at < usize::from(self.of.voters) || at + 1 == self.gateways.len()
     }
 
     /// As the reducer does: what came, then the machines' own time.
@@ -472,7 +472,7 @@
             }
         }
         if let Some(began) = began {
-            gateway.traffic.machines += (thread_time() - began).saturating_sub(self.look);
+            gateway.traffic.state_machine_time += (thread_time() - began).saturating_sub(self.look);
         }
         for effect in effects {
             if let node::Effect::Send { to, envelope } = effect {
@@ -527,17 +527,17 @@
         let length = bytes.len() as u64;
         let now = self.now;
         let gateway = &mut self.gateways[from];
-        gateway.traffic.codec += took.unwrap_or_default();
+        gateway.traffic.codec_time += took.unwrap_or_default();
         if now >= gateway.second.0 + Duration::from_secs(1) {
             gateway.second = (now, 0);
         }
-        if gateway.second.1 + length > MOST_A_SECOND {
-            gateway.traffic.held_back += 1;
+        if gateway.second.1 + length > MAX_BYTES_PER_SECOND {
+            gateway.traffic.dropped_messages += 1;
             return;
         }
         gateway.second.1 += length;
-        gateway.traffic.said += 1;
-        gateway.traffic.said_bytes += length;
+        gateway.traffic.sent += 1;
+        gateway.traffic.sent_bytes += length;
         let to = match to {
             Recipient::Voter(seat) => usize::from(seat),
             Recipient::Address(address) if address.port() == TOOL => {
@@ -548,13 +548,13 @@
         if self.timed(to) {
             let began = thread_time();
             std::hint::black_box(Envelope::decode(&bytes, &self.key, self.terms.fleet));
-            self.gateways[to].traffic.codec += (thread_time() - began).saturating_sub(self.look);
+            self.gateways[to].traffic.codec_time += (thread_time() - began).saturating_sub(self.look);
         }
         self.carry(from, to, address(from), envelope, length);
     }
 
     fn carry(&mut self, from: usize, to: usize, by: SocketAddr, envelope: Envelope, bytes: u64) {
-        let (one, other) = (from % REGIONS, to % REGIONS);
+        let (one, other) = (from % REGION_COUNT, to % REGION_COUNT);
         if to >= self.gateways.len() || one != other && (self.cut == Some(one) || self.cut == Some(other)) {
             return;
         }
@@ -568,23 +568,23 @@
 
     /// Of all that are there and not cut off.
     fn reached(&self) -> impl Iterator<Item = usize> + '_ {
-        let there = |at: &usize| self.gateways[*at].leave.is_some() && self.cut != Some(at % REGIONS);
+        let there = |at: &usize| self.gateways[*at].leave.is_some() && self.cut != Some(at % REGION_COUNT);
         (0..self.gateways.len()).filter(there)
     }
 
-    pub fn keeper(&self) -> Option<usize> {
-        let seats = self.reached().take_while(|at| *at < usize::from(self.of.seats));
+    pub fn leader(&self) -> Option<usize> {
+        let seats = self.reached().take_while(|at| *at < usize::from(self.of.voters));
         seats
             .into_iter()
             .find(|at| self.gateways[*at].leave.as_ref().is_some_and(|node| node.is_leader(self.now)))
     }
 
-    pub fn is_there(&self, at: usize) -> bool {
+    pub fn is_running(&self, at: usize) -> bool {
         self.gateways[at].leave.is_some()
     }
 
     /// Gateways that are there, can be reached, and have no leave: of budgets, and of the policy where there is one.
-    pub fn without_leave(&mut self) -> (usize, usize) {
+    pub fn count_without_grant(&mut self) -> (usize, usize) {
         let (now, reached) = (self.now, self.reached().collect::<Vec<_>>());
         let (mut leave, mut policy) = (0, 0);
         for at in reached {
@@ -598,8 +598,8 @@
 
     /// Whether somebody, or everybody that can be reached, was given leave by another seat than this since then. The keeper's own
     /// gateway asks without a message.
-    pub fn given_since(&self, since: Duration, but: usize, all: bool) -> bool {
-        let keeper = self.keeper();
+    pub fn granted_since(&self, since: Duration, but: usize, all: bool) -> bool {
+        let keeper = self.leader();
         let given = |at: usize| {
             self.gateways[at].given_by.is_some_and(|(seat, when)| when > since && usize::from(seat) != but)
         };
@@ -610,21 +610,21 @@
     }
 
     /// Whether a new keeper still waits for what was given before it.
-    pub fn waits_out(&mut self) -> bool {
+    pub fn is_recovering(&mut self) -> bool {
         let now = self.now;
-        let keeper = self.keeper();
+        let keeper = self.leader();
         let leave = keeper.and_then(|at| self.gateways[at].leave.as_mut());
         leave.is_none_or(|leave| leave.status(now).leader.is_none_or(|keeper| keeper.is_recovering))
     }
 
     /// What whoever keeps says of the policy: the phase, what is in force, how the last proposal ended, whom one waits for.
-    pub fn stands(&self) -> Option<bramblewharf_policy::message::CoordinatorStatus> {
-        let at = self.keeper()?;
+    pub fn coordinator_status(&self) -> Option<bramblewharf_policy::message::CoordinatorStatus> {
+        let at = self.leader()?;
         self.gateways[at].policy.as_ref()?.status(self.now).coordinator
     }
 
     /// Whether all that are there and can be reached decide by that one alone. One that has only started may have no leave yet.
-    pub fn in_force(&self, digest: Digest) -> bool {
+    pub fn is_enforced_everywhere(&self, digest: Digest) -> bool {
         self.reached().all(|at| {
             let gateway = &self.gateways[at];
             gateway.policy.as_ref().is_some_and(|policy| match policy.phase(self.now) {
@@ -638,8 +638,8 @@
     }
 
     /// How a proposal ended, where it is over: why it was refused, if it was.
-    pub fn refused(&self, digest: Digest) -> Option<String> {
-        let (last, why) = self.stands()?.last_outcome?;
+    pub fn rejection_reason(&self, digest: Digest) -> Option<String> {
+        let (last, why) = self.coordinator_status()?.last_outcome?;
         why.filter(|why| last == digest && !why.contains("under way"))
     }
 
@@ -655,7 +655,7 @@
         self.gateways.is_empty()
     }
 
-    pub fn all(&self) -> Vec<Traffic> {
+    pub fn traffic_of_all(&self) -> Vec<Traffic> {
         self.gateways.iter().map(|gateway| gateway.traffic).collect()
     }
 }
--- a/crates/rig/src/counted.rs
+++ b/crates/rig/src/allocations.rs
@@ -1,41 +1,41 @@
-//! What one thread allocates, for whoever measures: a program that has `Counting` as its allocator counts only where
+//! What one thread allocates, for whoever measures: a program that has `CountingAllocator` as its allocator counts only where
 //! a thread asks for it; every other pays one look at a flag of its own.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 use std::hint::black_box;
 
-/// Allocations made, their bytes, and bytes kept: those given back are taken off, whoever made them.
+/// Allocations made, their bytes, and bytes retained: those given back are taken off, whoever made them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allocated {
     pub calls: u64,
     pub bytes: u64,
-    pub kept: i64,
+    pub retained: i64,
 }
 
 thread_local! {
-    static IS_COUNTED: Cell<bool> = const { Cell::new(false) };
-    static SO_FAR: Cell<Allocated> = const { Cell::new(Allocated { calls: 0, bytes: 0, kept: 0 }) };
+    static COUNTING_ENABLED: Cell<bool> = const { Cell::new(false) };
+    static TOTALS: Cell<Allocated> = const { Cell::new(Allocated { calls: 0, bytes: 0, retained: 0 }) };
 }
 
-pub struct Counting;
+pub struct CountingAllocator;
 
 fn count(bytes: usize, freed: usize) {
     // A thread that ends may free more after its own values are gone.
-    if !IS_COUNTED.try_with(Cell::get).unwrap_or(false) {
+    if !COUNTING_ENABLED.try_with(Cell::get).unwrap_or(false) {
         return;
     }
-    let _ = SO_FAR.try_with(|so_far| {
-        let mut sum = so_far.get();
+    let _ = TOTALS.try_with(|totals| {
+        let mut sum = totals.get();
         sum.calls += u64::from(bytes > 0);
         sum.bytes += bytes as u64;
-        sum.kept += bytes as i64 - freed as i64;
-        so_far.set(sum);
+        sum.retained += bytes as i64 - freed as i64;
+        totals.set(sum);
     });
 }
 
 // Guards nothing: it adds a count to the system's own allocator.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(layout.size(), 0);
         System.alloc(layout)
@@ -60,21 +60,21 @@
 
 /// What this thread allocates while `work` is done. All zero where the program has another allocator: see
 /// `is_counting`.
-pub fn during<T>(work: impl FnOnce() -> T) -> (T, Allocated) {
-    let before = SO_FAR.get();
-    IS_COUNTED.set(true);
+pub fn count_during<T>(work: impl FnOnce() -> T) -> (T, Allocated) {
+    let before = TOTALS.get();
+    COUNTING_ENABLED.set(true);
     let done = work();
-    IS_COUNTED.set(false);
-    let after = SO_FAR.get();
+    COUNTING_ENABLED.set(false);
+    let after = TOTALS.get();
     let counted = Allocated {
         calls: after.calls - before.calls,
         bytes: after.bytes - before.bytes,
-        kept: after.kept - before.kept,
+        retained: after.retained - before.retained,
     };
     (done, counted)
 }
 
 /// Whether this program counts: a figure that nobody counted is not zero but unknown.
 pub fn is_counting() -> bool {
-    during(|| drop(black_box(Box::new(1u64)))).1.calls > 0
+    count_during(|| drop(black_box(Box::new(1u64)))).1.calls > 0
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -2,8 +2,8 @@
 
 use bramblewharf_fleet::InjectedBug;
 use bramblewharf_gateway::{cli, machine_time, policy_cli, Ports};
+use bramblewharf_rig::allocations::CountingAllocator;
 use bramblewharf_rig::campaign;
-use bramblewharf_rig::counted::Counting;
 use bramblewharf_rig::plan::{draw, kinds, smaller, Plan};
 use bramblewharf_rig::scale::{self, Scale};
 use bramblewharf_rig::simulated::{play, Fleet};
@@ -18,7 +18,7 @@
 
 /// Counts where `scale decide` asks for it.
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[derive(Parser)]
 #[command(name = "bramblewharf-rig", about = "Fleets of gateways under fire")]
@@ -135,9 +135,16 @@
             against_processes(from, plans, gateways, seats, faults, Duration::from_secs(seconds))
         }
         Command::Soak { from, seeds, gateways, engines, clients, faults, late_reads, seconds } => {
-            let (every, span) = (Duration::from_millis(120), Duration::from_secs(seconds));
-            let size =
-                soak::Size { gateways, engines, clients_each: clients, every, faults, late_reads, span };
+            let (request_interval, duration) = (Duration::from_millis(120), Duration::from_secs(seconds));
+            let size = soak::Size {
+                gateways,
+                engines,
+                clients_each: clients,
+                request_interval,
+                faults,
+                late_reads,
+                duration,
+            };
             soak_seeds(from, seeds, size)
         }
         Command::Scale(what) => match scale::run(&what) {
@@ -160,8 +167,8 @@
         match soak::run(seed, size, &program) {
             Ok(report) => {
                 println!(
-                    "seed {seed}: {} requests, {} served, {} refused, {} attempts ({} of strangers), machine late by {:?} at most, broken: {:?}",
-                    report.requests, report.served, report.refused, report.attempts, report.strangers, report.worst_lateness, report.broken()
+                    "seed {seed}: {} requests, {} served, {} refused, {} attempts ({} from other runs), machine late by {:?} at most, broken: {:?}",
+                    report.requests, report.served, report.refused, report.attempts, report.foreign_attempts, report.worst_lateness, report.violations_by_invariant()
                 );
                 report.violations.iter().take(12).for_each(|violation| println!("  {violation}"));
                 report.traces.iter().for_each(|line| println!("      {line}"));
--- a/crates/rig/src/scale/control.rs
+++ b/crates/rig/src/scale/control.rs
@@ -3,7 +3,10 @@
 
 use super::report::Table;
 use super::room;
-use crate::agreed::{revision, Agreed, Traffic, World, FIRST, FIRST_CLOSED, HEADERS, REGIONS};
+use crate::agreement::{
+    revision, AgreementConfig, Traffic, World, HEADER_BYTES, INITIAL_POLICY, INITIAL_POLICY_CLOSED,
+    REGION_COUNT,
+};
 use bramblewharf_fleet::voter::Ballot;
 use bramblewharf_fleet::wire::{GrantRequest, Message};
 use bramblewharf_fleet::{FleetConfig, Incarnation, Leader};
@@ -53,9 +56,9 @@
 }
 
 impl Size {
-    pub fn agreed(&self, policy: Option<usize>) -> Agreed {
+    pub fn agreed(&self, policy: Option<usize>) -> AgreementConfig {
         let Size { gateways, seats, seed } = *self;
-        Agreed { gateways, seats, seed, policy, ..Agreed::default() }
+        AgreementConfig { gateways, voters: seats, seed, policy, ..AgreementConfig::default() }
     }
 }
 
@@ -189,35 +192,35 @@
 }
 
 /// Messages and bytes a second at rest, and processor time, of a fleet that has leave: two rows.
-pub fn at_rest(of: &Agreed) -> (Vec<Value>, Vec<Value>) {
-    let mut world = World::new(of.clone(), FIRST);
+pub fn at_rest(of: &AgreementConfig) -> (Vec<Value>, Vec<Value>) {
+    let mut world = World::new(of.clone(), INITIAL_POLICY);
     world.run(SETTLED);
-    let before = world.all();
+    let before = world.traffic_of_all();
     world.run(WINDOW);
-    let after = world.all();
+    let after = world.traffic_of_all();
     let per: Vec<Traffic> = after.iter().zip(&before).map(|(after, before)| after.since(before)).collect();
     let each = |count: f64| count / WINDOW.as_secs_f64();
-    let keeper = world.keeper().unwrap_or(0);
-    let seats = usize::from(of.seats);
+    let keeper = world.leader().unwrap_or(0);
+    let seats = usize::from(of.voters);
     let mean = |range: &[usize], of: &dyn Fn(&Traffic) -> u64| {
         each(range.iter().map(|at| of(&per[*at])).sum::<u64>() as f64 / range.len().max(1) as f64)
     };
     let others: Vec<usize> = (seats..per.len()).collect();
     let other_seats: Vec<usize> = (0..seats).filter(|at| *at != keeper).collect();
     let kept = per[keeper];
-    let messages = |t: &Traffic| t.said + t.heard;
-    let bytes = |t: &Traffic| t.said_bytes + t.heard_bytes;
+    let messages = |t: &Traffic| t.sent + t.received;
+    let bytes = |t: &Traffic| t.sent_bytes + t.received_bytes;
     let head =
-        [json!(of.gateways), json!(of.seats), json!(of.lease.as_secs_f64()), json!(of.policy.is_some())];
+        [json!(of.gateways), json!(of.voters), json!(of.lease.as_secs_f64()), json!(of.policy.is_some())];
     let mut rest = head.to_vec();
     rest.extend([
         json!(mean(&others, &messages)),
         json!(mean(&others, &bytes)),
-        json!(mean(&others, &|t| bytes(t) + HEADERS * messages(t))),
-        json!(each(kept.heard as f64)),
-        json!(each(kept.said as f64)),
-        json!(each(kept.heard_bytes as f64)),
-        json!(each(kept.said_bytes as f64)),
+        json!(mean(&others, &|t| bytes(t) + HEADER_BYTES * messages(t))),
+        json!(each(kept.received as f64)),
+        json!(each(kept.sent as f64)),
+        json!(each(kept.received_bytes as f64)),
+        json!(each(kept.sent_bytes as f64)),
         json!(mean(&other_seats, &messages)),
         json!(mean(&other_seats, &bytes)),
     ]);
@@ -225,33 +228,33 @@
     let last = per[per.len() - 1];
     let mut cost = head.to_vec();
     cost.extend([
-        json!(of_a_core(kept.machines + kept.codec)),
-        json!(of_a_core(kept.machines)),
-        json!(of_a_core(kept.codec)),
-        json!(of_a_core(last.machines + last.codec)),
+        json!(of_a_core(kept.state_machine_time + kept.codec_time)),
+        json!(of_a_core(kept.state_machine_time)),
+        json!(of_a_core(kept.codec_time)),
+        json!(of_a_core(last.state_machine_time + last.codec_time)),
     ]);
     (rest, cost)
 }
 
 /// Times from an event until a fleet is as it was.
 pub fn event(size: &Size, event: Event) -> Vec<Value> {
-    let mut world = World::new(size.agreed(Some(2000)), FIRST);
+    let mut world = World::new(size.agreed(Some(2000)), INITIAL_POLICY);
     world.run(SETTLED);
-    let keeper = world.keeper().unwrap_or(0);
+    let keeper = world.leader().unwrap_or(0);
     let mut but = keeper;
     match event {
         Event::KeeperEnds => world.kill(keeper),
         Event::KeeperEndsRegionAway => {
-            world.cut(Some((keeper + 1) % REGIONS));
+            world.isolate_region(Some((keeper + 1) % REGION_COUNT));
             world.run(10 * S);
-            but = world.keeper().unwrap_or(keeper);
+            but = world.leader().unwrap_or(keeper);
             world.kill(but);
         }
-        Event::KeepersRegionCut => world.cut(Some(keeper % REGIONS)),
+        Event::KeepersRegionCut => world.isolate_region(Some(keeper % REGION_COUNT)),
         Event::RegionBack => {
-            world.cut(Some(keeper % REGIONS));
+            world.isolate_region(Some(keeper % REGION_COUNT));
             world.run(30 * S);
-            world.cut(None);
+            world.isolate_region(None);
             but = usize::MAX;
         }
         Event::AllRestarted => {
@@ -261,23 +264,23 @@
             but = usize::MAX;
         }
     }
-    let messages = |world: &World| world.all().iter().map(|t| t.said).sum::<u64>();
+    let messages = |world: &World| world.traffic_of_all().iter().map(|t| t.sent).sum::<u64>();
     let (began, said) = (world.now, messages(&world));
     let (mut first, mut all, mut more, mut until_all) = (None, None, None, 0);
     let (mut last_leave, mut last_policy, mut most) = (None, None, (0, 0));
     while world.now < began + 30 * S {
         world.run(20 * MS);
         let passed = world.now - began;
-        if first.is_none() && world.given_since(began, but, false) {
+        if first.is_none() && world.granted_since(began, but, false) {
             first = Some(passed);
         }
-        if all.is_none() && first.is_some() && world.given_since(began, but, true) {
+        if all.is_none() && first.is_some() && world.granted_since(began, but, true) {
             (all, until_all) = (Some(passed), messages(&world) - said);
         }
-        if more.is_none() && all.is_some() && !world.waits_out() {
+        if more.is_none() && all.is_some() && !world.is_recovering() {
             more = Some(passed);
         }
-        let (leave, policy) = world.without_leave();
+        let (leave, policy) = world.count_without_grant();
         most = (most.0.max(leave), most.1.max(policy));
         last_leave = if leave > 0 { Some(passed) } else { last_leave };
         last_policy = if policy > 0 { Some(passed) } else { last_policy };
@@ -307,17 +310,19 @@
 pub fn change(size: &Size, of: &Case) -> Vec<Value> {
     let Case { away, change, bytes, between_regions, wait } = *of;
     let closed = change == Change::NarrowsClosed;
-    let first = if closed { FIRST_CLOSED } else { FIRST };
-    let mut world = World::new(Agreed { between_regions, ..size.agreed(Some(bytes)) }, first);
+    let first = if closed { INITIAL_POLICY_CLOSED } else { INITIAL_POLICY };
+    let mut world = World::new(AgreementConfig { between_regions, ..size.agreed(Some(bytes)) }, first);
     world.run(SETTLED);
     match away {
         Away::Nobody => {}
         Away::One => world.kill(size.gateways - 1),
-        Away::Restarts(mean) => world.restart_always(mean / 10.0, 10 * S),
-        Away::Region => world.cut(Some((world.keeper().unwrap_or(0) + 1) % REGIONS)),
+        Away::Restarts(mean) => world.restart_continuously(mean / 10.0, 10 * S),
+        Away::Region => world.isolate_region(Some((world.leader().unwrap_or(0) + 1) % REGION_COUNT)),
     }
     world.run(10 * S);
-    let total = |world: &World| world.all().iter().fold((0, 0), |(m, b), t| (m + t.said, b + t.said_bytes));
+    let total = |world: &World| {
+        world.traffic_of_all().iter().fold((0, 0), |(m, b), t| (m + t.sent, b + t.sent_bytes))
+    };
     let rest = total(&world);
     world.run(5 * S);
     let before = total(&world);
@@ -330,7 +335,7 @@
     };
     let next = revision(2, now, words, bytes);
     let digest = next.digest();
-    let steward = world.keeper().unwrap_or(0);
+    let steward = world.leader().unwrap_or(0);
     let (steward_before, began) = (world.traffic(steward), world.now);
     world.propose(next, wait);
     // What the change itself costs others: answers of leave that go no more into what the steward may send.
@@ -339,34 +344,36 @@
     let keepers = std::cell::RefCell::new(std::collections::BTreeSet::new());
     let took = world.run_until(MOST_TIME, |world| {
         let (most, at) = most_without.get();
-        if let Some(keeper) = world.keeper() {
+        if let Some(keeper) = world.leader() {
             keepers.borrow_mut().insert(keeper);
         }
         if world.now >= at {
-            most_without.set((most.max(world.without_leave().0), world.now + S / 4));
+            most_without.set((most.max(world.count_without_grant().0), world.now + S / 4));
         }
-        world.in_force(digest) || world.refused(digest).is_some()
+        world.is_enforced_everywhere(digest) || world.rejection_reason(digest).is_some()
     });
     let keepers = keepers.into_inner().len();
-    let (refused, ended) = (world.refused(digest), world.now);
+    let (refused, ended) = (world.rejection_reason(digest), world.now);
     let outcome = match (&refused, took) {
         (Some(why), _) => format!("withdrawn: {}", why.chars().take(90).collect::<String>()),
         (None, Some(_)) => "in force".into(),
-        (None, None) => format!("not yet: phase {:?}", world.stands().map(|stands| stands.phase.0)),
+        (None, None) => {
+            format!("not yet: phase {:?}", world.coordinator_status().map(|stands| stands.phase.0))
+        }
     };
     let after = total(&world);
     let extra = (after.1 - before.1) as f64 - at_rest * (ended - began).as_secs_f64();
     let of_steward = world.traffic(steward).since(&steward_before);
     // Who was away comes back to what is in force by then.
-    let by = world.stands().map_or(now, |stands| stands.current);
+    let by = world.coordinator_status().map_or(now, |stands| stands.current);
     match away {
         Away::One => world.start(size.gateways - 1),
-        Away::Region => world.cut(None),
+        Away::Region => world.isolate_region(None),
         Away::Nobody | Away::Restarts(_) => {}
     }
     let is_back = matches!(away, Away::One | Away::Region);
     // With leave to decide by it: one that has only started is no other's concern, but its own.
-    let all_on = |world: &mut World| world.in_force(by) && world.without_leave().1 == 0;
+    let all_on = |world: &mut World| world.is_enforced_everywhere(by) && world.count_without_grant().1 == 0;
     let back = is_back.then(|| world.run_until(MOST_TIME, all_on)).flatten();
     vec![
         json!(format!("{change:?}")),
@@ -381,9 +388,12 @@
         json!(outcome),
         json!(after.0 - before.0),
         json!(extra / size.gateways as f64),
-        json!(of_steward.said_bytes),
-        json!(of_steward.held_back),
-        json!((of_steward.machines + of_steward.codec).as_secs_f64() / (ended - began).as_secs_f64()),
+        json!(of_steward.sent_bytes),
+        json!(of_steward.dropped_messages),
+        json!(
+            (of_steward.state_machine_time + of_steward.codec_time).as_secs_f64()
+                / (ended - began).as_secs_f64()
+        ),
         json!(most_without.get().0),
         secs(back),
         json!(keepers),
@@ -392,16 +402,16 @@
 
 /// Several changes, each proposed as the one before is in force everywhere: how long all take.
 pub fn in_a_row(size: &Size, count: u64, bytes: usize) -> Vec<Value> {
-    let mut world = World::new(size.agreed(Some(bytes)), FIRST);
+    let mut world = World::new(size.agreed(Some(bytes)), INITIAL_POLICY);
     world.run(SETTLED);
-    let mut before = revision(1, Default::default(), FIRST, bytes).digest();
+    let mut before = revision(1, Default::default(), INITIAL_POLICY, bytes).digest();
     let began = world.now;
     let mut longest = Some(Duration::ZERO);
     for number in 2..2 + count {
         let next = revision(number, before, &format!("load={},report=3", number + 2), bytes);
         before = next.digest();
         world.propose(next, WAIT);
-        let took = world.run_until(MOST_TIME, |world| world.in_force(before));
+        let took = world.run_until(MOST_TIME, |world| world.is_enforced_everywhere(before));
         longest = longest.zip(took).map(|(longest, took)| longest.max(took));
     }
     vec![
@@ -417,18 +427,20 @@
 /// One gateway is away the whole time, and a change that widens comes every so often: how many are in force everywhere else before
 /// one is refused, and why that one was.
 pub fn with_one_away(size: &Size, every: Duration, most: u64) -> (u64, String) {
-    let mut world = World::new(size.agreed(Some(200)), FIRST);
+    let mut world = World::new(size.agreed(Some(200)), INITIAL_POLICY);
     world.run(SETTLED);
     world.kill(size.gateways - 1);
     world.run(5 * S);
-    let mut before = revision(1, Default::default(), FIRST, 200).digest();
+    let mut before = revision(1, Default::default(), INITIAL_POLICY, 200).digest();
     for number in 2..2 + most {
         let (next, began) =
             (revision(number, before, &format!("load={},report=3", number + 2), 200), world.now);
         let digest = next.digest();
         world.propose(next, WAIT);
-        let took = world.run_until(MOST_TIME, |w| w.in_force(digest) || w.refused(digest).is_some());
-        if let Some(why) = world.refused(digest) {
+        let took = world.run_until(MOST_TIME, |w| {
+            w.is_enforced_everywhere(digest) || w.rejection_reason(digest).is_some()
+        });
+        if let Some(why) = world.rejection_reason(digest) {
             return (number - 2, why);
         }
         if took.is_none() {
@@ -580,7 +592,7 @@
     add("changes with one away".into(), Box::new(job));
     for lease in [1, 4] {
         let size = Size { gateways: args.gateways[0], seats: args.seats[0] as u8, seed };
-        let of = Agreed { lease: lease * S, ..size.agreed(Some(2000)) };
+        let of = AgreementConfig { lease: lease * S, ..size.agreed(Some(2000)) };
         let job = move || {
             let (rest, cost) = at_rest(&of);
             vec![(0, rest), (1, cost)]
--- a/crates/rig/src/scale/decide.rs
+++ b/crates/rig/src/scale/decide.rs
@@ -8,7 +8,7 @@
 
 use super::report::Table;
 use super::room;
-use crate::counted::{self, Allocated};
+use crate::allocations::{self, Allocated};
 use bramblewharf::interface::{
     Customer, Effect as Repeats, EngineEntry, EngineState, Event, GossipMessage, Id, Kind, ListKind,
     LoadReport, NewStatement, Observation, Outcome, Site, SlowStart, WorkloadConfig,
@@ -242,7 +242,7 @@
 
 /// One size, from a gateway that has just started to one that is full.
 pub fn measure(size: Size, statements: usize, seed: u64) -> Counted {
-    let counts = counted::is_counting();
+    let counts = allocations::is_counting();
     let (mut world, mut row) = serve(size, statements, seed);
     row.heard = world.hear_of_loads();
     (row.changed, row.again) = world.tell_lists(counts);
@@ -256,7 +256,7 @@
 }
 
 fn serve(size: Size, statements: usize, seed: u64) -> (World, Counted) {
-    let counts = counted::is_counting();
+    let counts = allocations::is_counting();
     let mut world = World::new(size, seed);
     let (looked, spent) = (world.reducer.looked(), world.spent);
     world.run_for(REST, false);
@@ -301,15 +301,16 @@
 fn kept(size: Size, seed: u64, counts: bool) -> (Option<f64>, usize, Option<f64>) {
     let mut rng = WyRand::new_seed(seed);
     let mut reducer = Reducer::start(site(size), seed, HELD, START).0;
-    let (_, list) = counted::during(|| {
+    let (_, list) = allocations::count_during(|| {
         let (_, list) = engines(size, &mut rng);
         reducer.step(START, Input::Engines(ListKind::Cached, list));
     });
-    let (_, statements) = counted::during(|| {
+    let (_, statements) = allocations::count_during(|| {
         (0..HELD as u64).for_each(|number| drop(reducer.step(START + MS, statement(number, &mut rng).0)));
     });
-    let of =
-        |allocated: Allocated, many: usize| counts.then(|| allocated.kept.max(0) as f64 / many.max(1) as f64);
+    let of = |allocated: Allocated, many: usize| {
+        counts.then(|| allocated.retained.max(0) as f64 / many.max(1) as f64)
+    };
     (of(list, size.engines), reducer.held(), of(statements, reducer.held()))
 }
 
@@ -331,7 +332,7 @@
         let allocated = Allocated {
             calls: self.allocated.calls - before.allocated.calls,
             bytes: self.allocated.bytes - before.allocated.bytes,
-            kept: self.allocated.kept - before.allocated.kept,
+            retained: self.allocated.retained - before.allocated.retained,
         };
         Spent { took: self.took - before.took, allocated }
     }
@@ -478,11 +479,11 @@
     fn step(&mut self, input: Input) {
         let before = thread_time();
         let reducer = &mut self.reducer;
-        let (effects, allocated) = counted::during(|| reducer.step(self.now, input));
+        let (effects, allocated) = allocations::count_during(|| reducer.step(self.now, input));
         self.spent.took += (thread_time() - before).saturating_sub(self.clock_cost);
         self.spent.allocated.calls += allocated.calls;
         self.spent.allocated.bytes += allocated.bytes;
-        self.spent.allocated.kept += allocated.kept;
+        self.spent.allocated.retained += allocated.retained;
         effects.into_iter().for_each(|effect| self.carry_out(effect));
     }
 
--- a/crates/rig/src/scale/sockets.rs
+++ b/crates/rig/src/scale/sockets.rs
@@ -3,7 +3,7 @@
 
 use super::report::Table;
 use super::room;
-use crate::world::{call, own_address, Came};
+use crate::world::{call, reserve_address, CallOutcome};
 use bramblewharf_standins::Crowd;
 use rustix::process::{getrlimit, kill_process, Pid, Resource, Signal};
 use serde_json::{json, Value};
@@ -452,12 +452,12 @@
     ((at as u64 + 1) << 48) | number
 }
 
-fn count_answer(answers: &mut Answers, came: Came) {
+fn count_answer(answers: &mut Answers, came: CallOutcome) {
     *match came {
-        Came::Completed => &mut answers.completed,
-        Came::Rejected => &mut answers.rejected,
-        Came::Aborted => &mut answers.aborted,
-        Came::Nothing => &mut answers.nothing,
+        CallOutcome::Completed => &mut answers.completed,
+        CallOutcome::Rejected => &mut answers.rejected,
+        CallOutcome::Aborted => &mut answers.aborted,
+        CallOutcome::NoAnswer => &mut answers.nothing,
     } += 1;
 }
 
@@ -539,7 +539,7 @@
     crowd: &Crowd,
     dir: &Path,
 ) -> io::Result<Served> {
-    let address = own_address();
+    let address = reserve_address();
     // Spread over the fleet's numbers.
     let number = at * (args.gateways / args.processes);
     let config = dir.join(format!("config-{at}.json"));
--- a/crates/rig/src/soak/client.rs
+++ b/crates/rig/src/soak/client.rs
@@ -1,5 +1,6 @@
-//! Clients of the fleet under test. Each keeps one connection, asks on it for as long as it is open, comes back for answers that take
-//! long, and sometimes leaves; what it sent, when, and what came of it is on record.
+//! Clients of the fleet under test. Each keeps one connection, sends requests on it while it is open, polls
+//! for results that take long, and sometimes disconnects early; every request is recorded with its times and
+//! outcome.
 
 use super::gateways::{Gateway, Phase};
 use bramblewharf_standins::read_message;
@@ -11,32 +12,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A final answer counts up to so long after the client's time.
+/// A final answer counts as in time until this long after the client's deadline.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A client makes a call again whose connection ended without an answer, so often.
-const CALLS_AGAIN: usize = 3;
-/// A new connection is made within this of SIGTERM, and not later: the platform sends none then.
-const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(300);
+/// How often a client repeats a poll whose connection closed without an answer.
+const MAX_RETRIES: usize = 3;
+/// Clients make new connections to a gateway for this long after SIGTERM; the platform routes none to it
+/// later.
+const CONNECT_WINDOW_AFTER_TERM: Duration = Duration::from_millis(300);
 
 /// A workload of the settings, as clients use it.
 #[derive(Clone, Copy, Debug)]
-pub struct Class {
+pub struct Workload {
     pub name: &'static str,
     pub deadline: Duration,
     pub effect: &'static str,
     pub repeatable: bool,
 }
 
-pub const CLASSES: [Class; 4] = [
-    Class { name: "lookup", deadline: Duration::from_millis(800), effect: "read_like", repeatable: true },
-    Class { name: "report", deadline: Duration::from_millis(2500), effect: "read_like", repeatable: true },
-    Class {
+/// The workloads of the settings.
+pub const WORKLOADS: [Workload; 4] = [
+    Workload { name: "lookup", deadline: Duration::from_millis(800), effect: "read_like", repeatable: true },
+    Workload { name: "report", deadline: Duration::from_millis(2500), effect: "read_like", repeatable: true },
+    Workload {
         name: "once",
         deadline: Duration::from_millis(3000),
         effect: "non_idempotent",
         repeatable: false,
     },
-    Class {
+    Workload {
         name: "load",
         deadline: Duration::from_millis(2000),
         effect: "idempotency_key",
@@ -44,83 +47,87 @@
     },
 ];
 
+/// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
-    /// All rows of the result, from one engine, in order.
+pub enum RequestOutcome {
+    /// The client received all rows of the result, from one engine, in order.
     Served,
-    /// A final answer that claims a result which no engine made for it.
+    /// The final answer holds a result that no engine produced for the request.
     WrongRows(String),
     Refused,
     Failed,
-    /// The client closed or cancelled.
-    Left,
-    /// No connection was made, or none may be made now: nothing was sent.
+    /// The client closed its connection or cancelled.
+    Disconnected,
+    /// Nothing was sent: the write to a new connection failed.
     NotSent,
-    /// The connection ended, or the time did, with no whole answer. With how long after the last byte was sent.
+    /// The connection closed or the time ran out before a complete answer, `after` this time since the last
+    /// byte was sent.
     NoAnswer {
         connection_ended: bool,
         after: Duration,
     },
 }
 
-/// One request, from its last byte on.
+/// The record of one request.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
     pub gateway: usize,
-    pub class: usize,
+    pub workload: usize,
     pub body: String,
-    /// Not the first on its connection.
-    pub reused: bool,
-    pub sent: Instant,
-    /// When the client had closed or cancelled.
-    pub left: Option<Instant>,
-    pub ended: Instant,
-    pub end: End,
+    /// It was not the first request on its connection.
+    pub reused_connection: bool,
+    /// When its last byte was sent.
+    pub sent_at: Instant,
+    /// When the client had closed its connection or cancelled.
+    pub disconnected_at: Option<Instant>,
+    pub ended_at: Instant,
+    pub outcome: RequestOutcome,
 }
 
+/// Running clients of one gateway.
 pub struct Clients {
-    over: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<Vec<Request>>>,
 }
 
 impl Clients {
-    /// So many clients of a gateway, each with a request every `every` on average.
+    /// Starts `count` clients of a gateway, each with a request every `mean_interval` on average.
     pub fn start(
         gateway: &Gateway,
-        many: usize,
-        every: Duration,
+        count: usize,
+        mean_interval: Duration,
         seed: u64,
-        ids: &Arc<AtomicU64>,
+        next_request_id: &Arc<AtomicU64>,
     ) -> Clients {
-        let over = Arc::new(AtomicBool::new(false));
-        let threads = (0..many as u64).map(|number| {
+        let shutdown = Arc::new(AtomicBool::new(false));
+        let threads = (0..count as u64).map(|number| {
             let mut client = Client {
                 number: gateway.number,
                 address: gateway.address,
                 phase: gateway.phase.clone(),
                 rng: WyRand::new_seed(seed.wrapping_mul(1009).wrapping_add(number)),
                 connection: None,
-                ids: ids.clone(),
+                next_request_id: next_request_id.clone(),
                 records: Vec::new(),
             };
-            let over = over.clone();
+            let shutdown = shutdown.clone();
             std::thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
-                    let pause = client.rng.generate_range(0..=2 * every.as_micros() as u64);
+                while !shutdown.load(Ordering::Relaxed) {
+                    let pause = client.rng.generate_range(0..=2 * mean_interval.as_micros() as u64);
                     std::thread::sleep(Duration::from_micros(pause));
-                    client.request();
+                    client.send_next_request();
                 }
                 client.records
             })
         });
         let threads = threads.collect();
-        Clients { over, threads }
+        Clients { shutdown, threads }
     }
 
-    /// Ends them, each with its last request, and hands over their records.
+    /// Lets each client finish its current request, ends them and returns their records.
     pub fn finish(self) -> Vec<Request> {
-        self.over.store(true, Ordering::Relaxed);
+        self.shutdown.store(true, Ordering::Relaxed);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a client")).collect()
     }
 }
@@ -131,23 +138,23 @@
     phase: Arc<Mutex<Phase>>,
     rng: WyRand,
     connection: Option<BufReader<TcpStream>>,
-    ids: Arc<AtomicU64>,
+    next_request_id: Arc<AtomicU64>,
     records: Vec<Request>,
 }
 
-/// What one call came to.
-enum Call {
+/// What a client received for one call.
+enum Reply {
     Answer(u16, Value),
-    Ended,
-    TimeOver,
+    ConnectionClosed,
+    TimedOut,
 }
 
 impl Client {
-    /// Whether the platform would make new connections to the gateway now.
+    /// Whether the platform would route new connections to the gateway now.
     fn may_connect(&self) -> bool {
         match *self.phase.lock().expect("phase") {
-            Phase::Serves => true,
-            Phase::Terminates(since) => since.elapsed() < CONNECTS_AFTER_TERM,
+            Phase::Serving => true,
+            Phase::Terminating(since) => since.elapsed() < CONNECT_WINDOW_AFTER_TERM,
             Phase::Down => false,
         }
     }
@@ -158,9 +165,9 @@
         Some(BufReader::new(stream))
     }
 
-    fn request(&mut self) {
-        let class = self.rng.generate_range(0..10usize);
-        let class = [0, 0, 0, 0, 0, 0, 1, 1, 2, 3][class];
+    fn send_next_request(&mut self) {
+        let workload = self.rng.generate_range(0..10usize);
+        let workload = [0, 0, 0, 0, 0, 0, 1, 1, 2, 3][workload];
         let reused = self.connection.is_some();
         let connection = match self.connection.take() {
             Some(connection) => Some(connection),
@@ -168,10 +175,10 @@
             None => None,
         };
         let Some(mut connection) = connection else { return };
-        let number = self.ids.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         let id = format!("{number:016x}");
         let body = format!("SELECT note FROM sales_{}.orders WHERE id = '{id}'", number % 7);
-        let Class { name, deadline, .. } = CLASSES[class];
+        let Workload { name, deadline, .. } = WORKLOADS[workload];
         let call = format!(
             "POST /svc/{name} HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: {id}\r\nX-Deadline-Ms: {}\r\nX-Org: acme\r\n\
              X-Operation-Key: {id}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -179,81 +186,86 @@
             body.len()
         );
         let written = connection.get_mut().write_all(call.as_bytes());
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let mut record = Request {
             id,
             gateway: self.number,
-            class,
+            workload,
             body,
-            reused,
-            sent,
-            left: None,
-            ended: sent,
-            end: End::NotSent,
+            reused_connection: reused,
+            sent_at,
+            disconnected_at: None,
+            ended_at: sent_at,
+            outcome: RequestOutcome::NotSent,
         };
         if written.is_ok() {
-            record.end = self.follow(&mut record, connection);
+            record.outcome = self.await_result(&mut record, connection);
         } else if reused {
-            record.end = End::NoAnswer { connection_ended: true, after: Duration::ZERO };
+            record.outcome = RequestOutcome::NoAnswer { connection_ended: true, after: Duration::ZERO };
         }
-        record.ended = Instant::now();
+        record.ended_at = Instant::now();
         self.records.push(record);
     }
 
-    /// Reads answers and comes back for more until the last one, or leaves.
-    fn follow(&mut self, record: &mut Request, mut connection: BufReader<TcpStream>) -> End {
-        let deadline = record.sent + CLASSES[record.class].deadline;
-        let leaves = (self.rng.generate_range(0..100u32) < 5)
-            .then(|| record.sent + Duration::from_millis(self.rng.generate_range(0..400)));
-        let until = leaves.unwrap_or(deadline + ANSWER_SLACK).min(deadline + ANSWER_SLACK);
-        let (mut link, mut again): (Option<String>, usize) = (None, 0);
+    /// Reads answers and polls until the final one, or disconnects early.
+    fn await_result(&mut self, record: &mut Request, mut connection: BufReader<TcpStream>) -> RequestOutcome {
+        let deadline = record.sent_at + WORKLOADS[record.workload].deadline;
+        let disconnects_at = (self.rng.generate_range(0..100u32) < 5)
+            .then(|| record.sent_at + Duration::from_millis(self.rng.generate_range(0..400)));
+        let until = disconnects_at.unwrap_or(deadline + ANSWER_SLACK).min(deadline + ANSWER_SLACK);
+        let (mut poll_path, mut retries): (Option<String>, usize) = (None, 0);
         loop {
-            match read(&mut connection, until) {
-                Call::Answer(status, answer) => {
+            match read_reply(&mut connection, until) {
+                Reply::Answer(status, answer) => {
                     if let Some(next) = answer["link"].as_str() {
-                        link = Some(next.to_string());
-                        if ask(&mut connection, "GET", next) {
+                        poll_path = Some(next.to_string());
+                        if send_request(&mut connection, "GET", next) {
                             continue;
                         }
                     } else {
                         self.connection = Some(connection);
-                        return judged(status, &answer, &record.id);
+                        return classify(status, &answer, &record.id);
                     }
                 }
-                Call::TimeOver if leaves.is_some() => {
-                    self.leave(connection, link.as_deref());
-                    record.left = Some(Instant::now());
-                    return End::Left;
+                Reply::TimedOut if disconnects_at.is_some() => {
+                    self.disconnect(connection, poll_path.as_deref());
+                    record.disconnected_at = Some(Instant::now());
+                    return RequestOutcome::Disconnected;
                 }
-                Call::TimeOver => {
-                    return End::NoAnswer { connection_ended: false, after: record.sent.elapsed() };
+                Reply::TimedOut => {
+                    return RequestOutcome::NoAnswer {
+                        connection_ended: false,
+                        after: record.sent_at.elapsed(),
+                    };
                 }
-                Call::Ended => {}
+                Reply::ConnectionClosed => {}
             }
-            // The connection has ended: with a path the call is made again on a new one, at once.
-            let ended = End::NoAnswer { connection_ended: true, after: record.sent.elapsed() };
-            let Some(path) = link.as_deref() else { return ended };
-            let made = loop {
-                if again == CALLS_AGAIN || Instant::now() > until {
+            // The connection closed: if there is a path to poll, the client polls at once on a new
+            // connection.
+            let ended = RequestOutcome::NoAnswer { connection_ended: true, after: record.sent_at.elapsed() };
+            let Some(path) = poll_path.as_deref() else { return ended };
+            let reconnected = loop {
+                if retries == MAX_RETRIES || Instant::now() > until {
                     return ended;
                 }
-                again += 1;
-                if let Some(mut made) = self.connect() {
-                    if ask(&mut made, "GET", path) {
-                        break made;
+                retries += 1;
+                if let Some(mut reconnected) = self.connect() {
+                    if send_request(&mut reconnected, "GET", path) {
+                        break reconnected;
                     }
                 }
             };
-            connection = made;
+            connection = reconnected;
         }
     }
 
-    /// Cancels by the last path on a new connection, or closes the connection.
-    fn leave(&self, connection: BufReader<TcpStream>, link: Option<&str>) {
-        let cancelled = link.is_some_and(|path| {
+    /// Cancels by the last poll path on a new connection, or closes the connection.
+    fn disconnect(&self, connection: BufReader<TcpStream>, poll_path: Option<&str>) {
+        let cancelled = poll_path.is_some_and(|path| {
             let Some(mut other) = self.connect() else { return false };
             let soon = Instant::now() + Duration::from_millis(500);
-            ask(&mut other, "DELETE", path) && matches!(read(&mut other, soon), Call::Answer(..))
+            send_request(&mut other, "DELETE", path)
+                && matches!(read_reply(&mut other, soon), Reply::Answer(..))
         });
         if !cancelled {
             let _ = connection.get_ref().shutdown(Shutdown::Both);
@@ -261,45 +273,49 @@
     }
 }
 
-fn ask(connection: &mut BufReader<TcpStream>, method: &str, path: &str) -> bool {
+fn send_request(connection: &mut BufReader<TcpStream>, method: &str, path: &str) -> bool {
     let call = format!("{method} {path} HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
     connection.get_mut().write_all(call.as_bytes()).is_ok()
 }
 
-fn read(connection: &mut BufReader<TcpStream>, until: Instant) -> Call {
-    // A read may time out some milliseconds early: that is no end of the connection.
+fn read_reply(connection: &mut BufReader<TcpStream>, until: Instant) -> Reply {
+    // A read may time out a few milliseconds early; the connection is still open then.
     loop {
-        let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
-        if connection.get_ref().set_read_timeout(Some(left)).is_err() {
-            return Call::Ended;
+        let remaining = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        if connection.get_ref().set_read_timeout(Some(remaining)).is_err() {
+            return Reply::ConnectionClosed;
         }
         match connection.fill_buf() {
-            Ok([]) => return Call::Ended,
+            Ok([]) => return Reply::ConnectionClosed,
             Ok(_) => break,
-            Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Call::Ended,
-            Err(_) if Instant::now() >= until => return Call::TimeOver,
+            Err(e) if !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                return Reply::ConnectionClosed
+            }
+            Err(_) if Instant::now() >= until => return Reply::TimedOut,
             Err(_) => {}
         }
     }
     let Some((first, _, body)) = read_message(connection) else {
-        return if Instant::now() >= until { Call::TimeOver } else { Call::Ended };
+        return if Instant::now() >= until { Reply::TimedOut } else { Reply::ConnectionClosed };
     };
     let status = first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
-    Call::Answer(status, serde_json::from_slice(&body).unwrap_or(Value::Null))
+    Reply::Answer(status, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
-fn judged(status: u16, answer: &Value, id: &str) -> End {
+fn classify(status: u16, answer: &Value, id: &str) -> RequestOutcome {
     if status == 429 || status == 503 || answer["abort"] == "Busy" {
-        return End::Refused;
+        return RequestOutcome::Refused;
     }
-    let Some(rows) = answer["values"].as_array().filter(|_| status == 200) else { return End::Failed };
+    let Some(rows) = answer["values"].as_array().filter(|_| status == 200) else {
+        return RequestOutcome::Failed;
+    };
     let engine = &rows.first().map_or(Value::Null, |row| row[1].clone());
     let is_page = |row: &Value, page: usize| row[2].as_str().and_then(|text| text.parse().ok()) == Some(page);
-    let whole = rows.len() == 2
+    let complete = rows.len() == 2
         && rows.iter().enumerate().all(|(page, row)| row[0] == id && row[1] == *engine && is_page(row, page));
-    if whole {
-        End::Served
+    if complete {
+        RequestOutcome::Served
     } else {
-        End::WrongRows(answer.to_string())
+        RequestOutcome::WrongRows(answer.to_string())
     }
 }
--- a/crates/rig/src/soak/discovery.rs
+++ b/crates/rig/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! A name service for the fleet under test: one truth about the engines, and an outlet of its own for each gateway, so that each
-//! can be told late, wrongly or not at all, and what each was told and when is on record.
+//! Name service of the fleet under test: one list of engines, and a name server for each gateway, so that
+//! each gateway can be answered late, wrongly or not at all. Every notification is recorded with its time.
 
 use hickory_proto::op::{Message, MessageType, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
@@ -15,8 +15,8 @@
 
 const SERVICE: &str = "_rpc._tcp.mesh.local.";
 const ZONE: &str = "mesh.local.";
-/// How often an outlet looks for questions and for answers that are due.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which a name server checks for queries and for answers that are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// An engine as the name service lists it.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,8 @@
     pub draining: bool,
 }
 
-/// When an engine began to drain, or was removed without that, and the number of the list that first said so.
+/// When an engine began to drain or was removed without draining, and the serial of the first list that shows
+/// it.
 #[derive(Clone, Debug)]
 pub struct Departure {
     pub engine: String,
@@ -34,14 +35,15 @@
     pub serial: u32,
 }
 
+/// Every version of the engine list.
 #[derive(Default)]
-struct Truth {
-    /// Every list so far, by its number less one.
+struct ListHistory {
+    /// Every list so far; the list with serial `n` is at index `n - 1`.
     lists: Vec<Vec<Entry>>,
     departures: Vec<Departure>,
 }
 
-impl Truth {
+impl ListHistory {
     fn serial(&self) -> u32 {
         self.lists.len() as u32
     }
@@ -51,49 +53,50 @@
     }
 }
 
-/// The list of engines as it truly is.
+/// The authoritative list of engines.
 #[derive(Clone, Default)]
-pub struct Discovery(Arc<Mutex<Truth>>);
+pub struct Discovery(Arc<Mutex<ListHistory>>);
 
 impl Discovery {
-    fn truth(&self) -> MutexGuard<'_, Truth> {
-        self.0.lock().expect("truth")
+    fn history(&self) -> MutexGuard<'_, ListHistory> {
+        self.0.lock().expect("list history")
     }
 
-    /// Changes the list; the departures that this brings are recorded with it.
-    pub fn change(&self, change: impl FnOnce(&mut Vec<Entry>)) {
-        let mut truth = self.truth();
-        let before = truth.list(truth.serial());
+    /// Publishes a changed list and records the engines that drain or were removed by it.
+    pub fn update(&self, change: impl FnOnce(&mut Vec<Entry>)) {
+        let mut history = self.history();
+        let before = history.list(history.serial());
         let mut now = before.clone();
         change(&mut now);
-        let serial = truth.serial() + 1;
+        let serial = history.serial() + 1;
         for entry in before.iter().filter(|entry| !entry.draining) {
             if !now.iter().any(|other| other.id == entry.id && !other.draining) {
-                truth.departures.push(Departure { engine: entry.id.clone(), at: Instant::now(), serial });
+                history.departures.push(Departure { engine: entry.id.clone(), at: Instant::now(), serial });
             }
         }
-        truth.lists.push(now);
+        history.lists.push(now);
     }
 
+    /// All departures so far.
     pub fn departures(&self) -> Vec<Departure> {
-        self.truth().departures.clone()
+        self.history().departures.clone()
     }
 
-    /// The list for `known` of a configuration, and its number.
-    pub fn known(&self) -> (u32, Value) {
-        let truth = self.truth();
-        let serial = truth.serial();
+    /// The serial of the current list and its value for `known` of a configuration.
+    pub fn configured_list(&self) -> (u32, Value) {
+        let history = self.history();
+        let serial = history.serial();
         let member = |entry: &Entry| {
             json!({"id": entry.id, "host_port": entry.address.to_string(), "locality": "here", "flavor": "std",
                 "cell": 0, "phase": if entry.draining { "draining" } else { "up" }, "size": 4, "up_since_ms": 0})
         };
-        let members: Vec<Value> = truth.list(serial).iter().map(member).collect();
+        let members: Vec<Value> = history.list(serial).iter().map(member).collect();
         let roster = json!({"revision": serial, "complete": true, "members": members});
         (serial, json!({"no": serial, "items": [{"no": serial, "roster": roster}]}))
     }
 }
 
-/// What is wrong with the answers of one outlet; percentages are of its answers.
+/// Faults of one name server, printed in reports; `lost` to `older` are in percent of its answers.
 #[derive(Clone, Debug, Default)]
 pub struct NameFaults {
     pub silent: bool,
@@ -103,176 +106,187 @@
     pub other_id: u32,
     pub older: u32,
     pub late: Duration,
-    /// What has asked so far hears nothing any more, though it is answered: only new sockets do.
+    /// Answers to sockets that have asked before are dropped; only new sockets receive them.
     pub dead_flows: bool,
-    /// The numbers that are told lie so much lower than the truth's.
+    /// Answers carry serials that are lower than the true ones by this.
     pub numbers_back: u32,
 }
 
-/// One answer that went out with a whole list.
+/// An answer with a complete list that was sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    pub at: Instant,
-    /// The truth's own number of that list.
+pub struct Notification {
+    pub sent_at: Instant,
+    /// The true serial of that list.
     pub serial: u32,
-    /// It went out on a path that had died: only one who asked again from another socket could hear it.
+    /// The answer was dropped: only a gateway that asks again from another socket can learn of the list.
     pub on_dead_path: bool,
 }
 
-/// Where one gateway asks.
-pub struct Outlet {
+/// The name server that one gateway asks, on a UDP socket.
+pub struct NameServer {
     pub address: SocketAddr,
     faults: Arc<Mutex<NameFaults>>,
-    told: Arc<Mutex<Vec<Told>>>,
-    /// When its faults changed.
-    changes: Arc<Mutex<Vec<Instant>>>,
-    over: Arc<AtomicBool>,
+    notifications: Arc<Mutex<Vec<Notification>>>,
+    /// When the faults changed.
+    fault_changes: Arc<Mutex<Vec<Instant>>>,
+    shutdown: Arc<AtomicBool>,
 }
 
-impl Outlet {
-    pub fn open(discovery: &Discovery, seed: u64) -> io::Result<Outlet> {
+impl NameServer {
+    /// Starts a name server on a free port.
+    pub fn start(discovery: &Discovery, seed: u64) -> io::Result<NameServer> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
-        socket.set_read_timeout(Some(LOOK))?;
-        let outlet = Outlet {
+        socket.set_read_timeout(Some(POLL_INTERVAL))?;
+        let name_server = NameServer {
             address: socket.local_addr()?,
             faults: Arc::default(),
-            told: Arc::default(),
-            changes: Arc::default(),
-            over: Arc::default(),
+            notifications: Arc::default(),
+            fault_changes: Arc::default(),
+            shutdown: Arc::default(),
         };
-        let serving = Serving {
+        let worker = Worker {
             socket,
             discovery: discovery.clone(),
-            faults: outlet.faults.clone(),
-            told: outlet.told.clone(),
+            faults: name_server.faults.clone(),
+            notifications: name_server.notifications.clone(),
             rng: WyRand::new_seed(seed),
             pending: Vec::new(),
-            seen: HashSet::new(),
-            dead: HashSet::new(),
+            known_clients: HashSet::new(),
+            dead_clients: HashSet::new(),
         };
-        let over = outlet.over.clone();
-        std::thread::spawn(move || serving.run(&over));
-        Ok(outlet)
+        let shutdown = name_server.shutdown.clone();
+        std::thread::spawn(move || worker.run(&shutdown));
+        Ok(name_server)
     }
 
-    pub fn set(&self, faults: NameFaults) {
+    /// Sets the faults and records the time.
+    pub fn set_faults(&self, faults: NameFaults) {
         *self.faults.lock().expect("faults") = faults;
-        self.changes.lock().expect("changes").push(Instant::now());
+        self.fault_changes.lock().expect("fault changes").push(Instant::now());
     }
 
-    pub fn changes(&self) -> Vec<Instant> {
-        self.changes.lock().expect("changes").clone()
+    /// When the faults changed.
+    pub fn fault_changes(&self) -> Vec<Instant> {
+        self.fault_changes.lock().expect("fault changes").clone()
     }
 
-    pub fn told(&self) -> Vec<Told> {
-        self.told.lock().expect("told").clone()
+    /// All notifications sent so far.
+    pub fn notifications(&self) -> Vec<Notification> {
+        self.notifications.lock().expect("notifications").clone()
     }
 }
 
-impl Drop for Outlet {
+impl Drop for NameServer {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.shutdown.store(true, Ordering::Relaxed);
     }
 }
 
-/// An answer that is to go out.
-struct Pending {
+/// An answer that is due later.
+struct PendingAnswer {
     due: Instant,
     to: SocketAddr,
     bytes: Vec<u8>,
-    /// The truth's number of the whole list that it holds.
+    /// The true serial of the list, if the answer holds it completely.
     serial: Option<u32>,
 }
 
-struct Serving {
+struct Worker {
     socket: UdpSocket,
     discovery: Discovery,
     faults: Arc<Mutex<NameFaults>>,
-    told: Arc<Mutex<Vec<Told>>>,
+    notifications: Arc<Mutex<Vec<Notification>>>,
     rng: WyRand,
-    pending: Vec<Pending>,
-    /// Who has asked, and of these whose path has died.
-    seen: HashSet<SocketAddr>,
-    dead: HashSet<SocketAddr>,
+    pending: Vec<PendingAnswer>,
+    /// Sockets that have asked.
+    known_clients: HashSet<SocketAddr>,
+    /// Of these, the sockets whose answers are dropped.
+    dead_clients: HashSet<SocketAddr>,
 }
 
-impl Serving {
-    fn run(mut self, over: &AtomicBool) {
+impl Worker {
+    fn run(mut self, shutdown: &AtomicBool) {
         let mut bytes = [0; 512];
-        while !over.load(Ordering::Relaxed) {
+        while !shutdown.load(Ordering::Relaxed) {
             if let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
-                if let Ok(question) = Message::from_vec(&bytes[..length]) {
-                    self.answer(question.metadata.id, from);
+                if let Ok(query) = Message::from_vec(&bytes[..length]) {
+                    self.handle_query(query.metadata.id, from);
                 }
             }
             self.send_due();
         }
     }
 
-    fn happens(&mut self, percent: u32) -> bool {
+    fn chance(&mut self, percent: u32) -> bool {
         self.rng.generate_range(0..100u32) < percent
     }
 
-    fn answer(&mut self, id: u16, to: SocketAddr) {
+    fn handle_query(&mut self, id: u16, to: SocketAddr) {
         let faults = self.faults.lock().expect("faults").clone();
         match faults.dead_flows {
-            true if self.dead.is_empty() => self.dead = std::mem::take(&mut self.seen),
+            true if self.dead_clients.is_empty() => {
+                self.dead_clients = std::mem::take(&mut self.known_clients)
+            }
             true => {}
-            false => self.dead.clear(),
+            false => self.dead_clients.clear(),
         }
-        self.seen.insert(to);
-        if faults.silent || self.happens(faults.lost) {
+        self.known_clients.insert(to);
+        if faults.silent || self.chance(faults.lost) {
             return;
         }
         let (now, list) = {
-            let truth = self.discovery.truth();
-            (truth.serial(), truth.list(truth.serial()))
+            let history = self.discovery.history();
+            (history.serial(), history.list(history.serial()))
         };
-        let (serial, list) = match self.happens(faults.older) && now > 1 {
-            true => (now - 1, self.discovery.truth().list(now - 1)),
+        let (serial, list) = match self.chance(faults.older) && now > 1 {
+            true => (now - 1, self.discovery.history().list(now - 1)),
             false => (now, list),
         };
-        let other_id = self.happens(faults.other_id);
+        let other_id = self.chance(faults.other_id);
         let id = if other_id { id.wrapping_add(1) } else { id };
-        let mut message = list_answer(id, serial.saturating_sub(faults.numbers_back).max(1), &list);
-        // Under another id it is nobody's answer: it tells nothing.
-        let mut whole = !other_id;
-        if self.happens(faults.failed) {
+        let mut message = list_response(id, serial.saturating_sub(faults.numbers_back).max(1), &list);
+        // The gateway ignores an answer with another id: it notifies nobody.
+        let mut complete = !other_id;
+        if self.chance(faults.failed) {
             message.metadata.response_code = ResponseCode::ServFail;
-            whole = false;
+            complete = false;
         }
         let Ok(mut bytes) = message.to_vec() else { return };
-        if self.happens(faults.cut) {
+        if self.chance(faults.cut) {
             bytes.truncate(bytes.len() / 2);
-            whole = false;
+            complete = false;
         }
         let due = Instant::now() + faults.late;
-        self.pending.push(Pending { due, to, bytes, serial: Some(serial).filter(|_| whole) });
+        self.pending.push(PendingAnswer { due, to, bytes, serial: Some(serial).filter(|_| complete) });
     }
 
     fn send_due(&mut self) {
         let now = Instant::now();
         let silent = self.faults.lock().expect("faults").silent;
-        let (due, later) = self.pending.drain(..).partition(|pending| pending.due <= now);
-        self.pending = later;
-        for Pending { to, bytes, serial, .. } in due {
-            // What was under way when the path fell silent does not arrive either.
+        let (due, pending) = self.pending.drain(..).partition(|pending| pending.due <= now);
+        self.pending = pending;
+        for PendingAnswer { to, bytes, serial, .. } in due {
+            // Answers that were in flight when the server fell silent don't arrive either.
             if silent {
                 continue;
             }
-            // On a path that has died the answer goes out all the same, and counts.
-            if !self.dead.contains(&to) && self.socket.send_to(&bytes, to).is_err() {
+            // An answer on a dead path is recorded as sent, but is dropped.
+            if !self.dead_clients.contains(&to) && self.socket.send_to(&bytes, to).is_err() {
                 continue;
             }
             if let Some(serial) = serial {
-                let on_dead_path = self.dead.contains(&to);
-                self.told.lock().expect("told").push(Told { at: Instant::now(), serial, on_dead_path });
+                let on_dead_path = self.dead_clients.contains(&to);
+                self.notifications.lock().expect("notifications").push(Notification {
+                    sent_at: Instant::now(),
+                    serial,
+                    on_dead_path,
+                });
             }
         }
     }
 }
 
-fn list_answer(id: u16, serial: u32, list: &[Entry]) -> Message {
+fn list_response(id: u16, serial: u32, list: &[Entry]) -> Message {
     let name = |text: &str| Name::from_ascii(text).expect("a name");
     let record = |owner: &str, data| Record::from_rdata(name(owner), 0, data);
     let mut message = Message::query();
--- a/crates/rig/src/soak/engine.rs
+++ b/crates/rig/src/soak/engine.rs
@@ -1,5 +1,5 @@
-//! An engine of the fleet under test: it works for a time on each statement, can be put to faults, drain and end, and keeps a
-//! record of every statement that arrived, with how that ended here.
+//! A simulated engine: it runs each statement for a random time, can misbehave, drain and end, and records
+//! every statement that arrived and how it ended.
 
 use bramblewharf_standins::read_message;
 use nanorand::{Rng, WyRand};
@@ -10,36 +10,40 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// An engine answers within this, if only that there is no news.
-const NEWS: Duration = Duration::from_millis(250);
-/// What nobody has asked for in this time ends by itself.
-const FORGOTTEN: Duration = Duration::from_secs(2);
-/// An engine that drains still works on what comes for so long, and turns it away after that.
-const TURNS_AWAY_AFTER: Duration = Duration::from_secs(2);
-/// How often work that runs looks whether it was given up.
-const STEP: Duration = Duration::from_millis(5);
-/// An engine that was stopped reads statements so long after all other calls.
-const STATEMENTS_LAST: Duration = Duration::from_millis(100);
+/// A poll for a result is answered after this time even if the statement still runs.
+const LONG_POLL_TIME: Duration = Duration::from_millis(250);
+/// A statement that nobody polled for this long ends by itself.
+const ORPHAN_RETENTION: Duration = Duration::from_secs(2);
+/// A draining engine accepts statements for this long and then rejects them.
+const REJECTS_AFTER: Duration = Duration::from_secs(2);
+/// Interval at which waiting calls check the state of the engine.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Delay after a pause of the engine until it reads statements; other calls are read at once.
+const STATEMENT_READ_DELAY: Duration = Duration::from_millis(100);
 
-/// What is wrong with an engine.
+/// How an engine misbehaves; the names are printed in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
+    /// It works normally.
     Well,
-    /// It reads and never answers.
+    /// It reads calls and never answers.
     Hangs,
+    /// It rejects every statement.
     Full,
+    /// Every statement fails.
     Fails,
-    /// The connection is reset when a statement has been read; the statement runs all the same.
+    /// It resets the connection once it has read a statement; the statement runs all the same.
     Resets,
-    /// Everything takes longer by this.
+    /// Each statement takes longer by this.
     Slow(Duration),
-    /// A statement waits in its connection for so long before it is read; other calls are read at once.
+    /// It reads statements late by this; other calls are read at once.
     ReadsLate(Duration),
-    /// The process is stopped: nothing is read until the fault is over, and statements then after all other calls.
+    /// The process is paused: nothing is read until the fault ends, and then statements after all other
+    /// calls.
     Stopped,
 }
 
-/// How a statement ended at an engine, as far as the engine knows.
+/// How a statement ended at the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     Completed,
@@ -48,95 +52,100 @@
     GivenUp,
 }
 
-/// A statement that arrived.
+/// A statement that arrived at an engine.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub engine: String,
-    /// The first byte of it, as it came and as it was read.
-    pub came: Instant,
-    pub at: Instant,
+    /// When its first byte arrived.
+    pub received_at: Instant,
+    /// When the engine read it.
+    pub read_at: Instant,
     pub id: String,
     pub max_ms: u64,
     pub body: Vec<u8>,
     pub ended: Option<(Instant, Ended)>,
 }
 
-struct Work {
-    arrival: usize,
-    done: Instant,
-    asked: Instant,
-    given_up: bool,
+struct RunningStatement {
+    arrival_index: usize,
+    finishes_at: Instant,
+    last_polled: Instant,
+    cancelled: bool,
 }
 
 struct State {
     mode: Mode,
-    drains_since: Option<Instant>,
+    draining_since: Option<Instant>,
     arrivals: Vec<Arrival>,
-    works: HashMap<String, Work>,
+    running: HashMap<String, RunningStatement>,
     connections: Vec<TcpStream>,
     rng: WyRand,
 }
 
+/// An engine with a listener on loopback.
 pub struct Engine {
     pub id: String,
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    over: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
 }
 
-struct Answer {
+struct Response {
     status: u16,
-    fields: String,
+    headers: String,
     body: Vec<u8>,
 }
 
-impl Answer {
-    fn new(status: u16, fields: &str) -> Answer {
-        Answer { status, fields: fields.into(), body: Vec::new() }
+impl Response {
+    fn new(status: u16, headers: &str) -> Response {
+        Response { status, headers: headers.into(), body: Vec::new() }
     }
 }
 
 impl Engine {
+    /// Starts an engine on a free port.
     pub fn start(id: &str, seed: u64) -> io::Result<Engine> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
         let state = Arc::new(Mutex::new(State {
             mode: Mode::Well,
-            drains_since: None,
+            draining_since: None,
             arrivals: Vec::new(),
-            works: HashMap::new(),
+            running: HashMap::new(),
             connections: Vec::new(),
             rng: WyRand::new_seed(seed),
         }));
-        let over = Arc::new(AtomicBool::new(false));
-        let engine = Engine { id: id.into(), address, state, over };
-        let (id, state, over) = (engine.id.clone(), engine.state.clone(), engine.over.clone());
+        let shutdown = Arc::new(AtomicBool::new(false));
+        let engine = Engine { id: id.into(), address, state, shutdown };
+        let (id, state, shutdown) = (engine.id.clone(), engine.state.clone(), engine.shutdown.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if over.load(Ordering::SeqCst) {
+                if shutdown.load(Ordering::SeqCst) {
                     return;
                 }
                 if let Ok(stream) = stream.try_clone() {
                     lock(&state).connections.push(stream);
                 }
-                let (id, state, over) = (id.clone(), state.clone(), over.clone());
-                std::thread::spawn(move || serve(&id, &stream, &state, &over));
+                let (id, state, shutdown) = (id.clone(), state.clone(), shutdown.clone());
+                std::thread::spawn(move || serve(&id, &stream, &state, &shutdown));
             }
         });
         Ok(engine)
     }
 
-    pub fn set(&self, mode: Mode) {
+    /// Sets how the engine behaves from now on.
+    pub fn set_mode(&self, mode: Mode) {
         lock(&self.state).mode = mode;
     }
 
+    /// Starts to drain the engine.
     pub fn drain(&self) {
-        lock(&self.state).drains_since.get_or_insert_with(Instant::now);
+        lock(&self.state).draining_since.get_or_insert_with(Instant::now);
     }
 
-    /// Its process ends: connections break off, and new ones are refused.
-    pub fn end(&self) {
-        if self.over.swap(true, Ordering::SeqCst) {
+    /// Ends the engine: open connections are closed and new ones are refused.
+    pub fn shut_down(&self) {
+        if self.shutdown.swap(true, Ordering::SeqCst) {
             return;
         }
         // Wakes the accepting thread, which drops the listener.
@@ -145,6 +154,7 @@
         connections.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
     }
 
+    /// Every statement that arrived so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.state).arrivals.clone()
     }
@@ -152,7 +162,7 @@
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
@@ -160,7 +170,7 @@
     state.lock().expect("state")
 }
 
-fn serve(engine: &str, stream: &TcpStream, state: &Mutex<State>, over: &AtomicBool) {
+fn serve(engine: &str, stream: &TcpStream, state: &Mutex<State>, shutdown: &AtomicBool) {
     let _ = stream.set_nodelay(true);
     let Ok(read) = stream.try_clone() else { return };
     let mut read = BufReader::new(read);
@@ -169,24 +179,25 @@
             Ok(bytes) if !bytes.is_empty() => bytes.starts_with(b"POST"),
             _ => return,
         };
-        let came = Instant::now();
-        wait_to_read(is_statement, came, state);
-        // A process that has ended reads nothing any more.
-        if over.load(Ordering::SeqCst) {
+        let received_at = Instant::now();
+        wait_to_read(is_statement, received_at, state);
+        // An engine that has ended reads nothing.
+        if shutdown.load(Ordering::SeqCst) {
             return;
         }
-        let at = Instant::now();
-        let Some((first, fields, body)) = read_message(&mut read) else { return };
+        let read_at = Instant::now();
+        let Some((first, headers, body)) = read_message(&mut read) else { return };
         let mut words = first.split(' ');
         let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
-        let answer = if method == "POST" {
-            let id = fields.get("x-ticket").cloned().unwrap_or_default();
-            let max_ms = fields.get("x-max-ms").and_then(|ms| ms.parse().ok()).unwrap_or(u64::MAX);
-            let arrival = Arrival { engine: engine.into(), came, at, id, max_ms, body, ended: None };
-            match begin(state, arrival) {
-                Began::Answer(answer) => Some(answer),
-                Began::Works(id) => news(engine, &id, 0, state),
-                Began::Resets => {
+        let response = if method == "POST" {
+            let id = headers.get("x-ticket").cloned().unwrap_or_default();
+            let max_ms = headers.get("x-max-ms").and_then(|ms| ms.parse().ok()).unwrap_or(u64::MAX);
+            let arrival =
+                Arrival { engine: engine.into(), received_at, read_at, id, max_ms, body, ended: None };
+            match start_statement(state, arrival) {
+                StartResult::Respond(response) => Some(response),
+                StartResult::Running(id) => poll_result(engine, &id, 0, state),
+                StartResult::Reset => {
                     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
                     let _ = stream.shutdown(Shutdown::Both);
                     return;
@@ -197,17 +208,17 @@
             let id = parts.next().unwrap_or_default().to_string();
             let page = parts.next().and_then(|page| page.parse().ok()).unwrap_or(0);
             match method {
-                "DELETE" => give_up(&id, state),
-                _ => news(engine, &id, page, state),
+                "DELETE" => cancel(&id, state),
+                _ => poll_result(engine, &id, page, state),
             }
         };
-        let Some(answer) = answer else {
-            // It hangs: nothing comes until the other end has had enough.
+        let Some(response) = response else {
+            // The engine hangs: it keeps the connection until the gateway closes it.
             let _ = read.read_until(0, &mut Vec::new());
             return;
         };
-        let Answer { status, fields, body } = answer;
-        let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{fields}\r\n", body.len());
+        let Response { status, headers, body } = response;
+        let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
         let mut write = stream;
         if write.write_all(&[head.as_bytes(), &body].concat()).is_err() {
             return;
@@ -215,77 +226,83 @@
     }
 }
 
-/// Returns when the engine reads what has come on a connection.
-fn wait_to_read(is_statement: bool, came: Instant, state: &Mutex<State>) {
-    let mut was_stopped = false;
+/// Waits until the engine reads a call that has arrived.
+fn wait_to_read(is_statement: bool, received_at: Instant, state: &Mutex<State>) {
+    let mut was_paused = false;
     loop {
         let mode = lock(state).mode;
         match mode {
-            Mode::Stopped => was_stopped = true,
-            Mode::ReadsLate(by) if is_statement && came.elapsed() < by => {}
+            Mode::Stopped => was_paused = true,
+            Mode::ReadsLate(by) if is_statement && received_at.elapsed() < by => {}
             _ => break,
         }
-        std::thread::sleep(STEP);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    if was_stopped && is_statement {
-        std::thread::sleep(STATEMENTS_LAST);
+    if was_paused && is_statement {
+        std::thread::sleep(STATEMENT_READ_DELAY);
     }
 }
 
-enum Began {
-    Answer(Answer),
-    Works(String),
-    Resets,
+/// What the engine does with a new statement.
+enum StartResult {
+    Respond(Response),
+    Running(String),
+    Reset,
 }
 
-fn begin(state: &Mutex<State>, mut arrival: Arrival) -> Began {
+fn start_statement(state: &Mutex<State>, mut arrival: Arrival) -> StartResult {
     let mut state = lock(state);
-    let turns_away = state.drains_since.is_some_and(|since| since.elapsed() >= TURNS_AWAY_AFTER);
+    let rejects = state.draining_since.is_some_and(|since| since.elapsed() >= REJECTS_AFTER);
     let now = Instant::now();
-    if turns_away || state.mode == Mode::Full {
+    if rejects || state.mode == Mode::Full {
         arrival.ended = Some((now, Ended::TurnedAway));
         state.arrivals.push(arrival);
-        return Began::Answer(Answer::new(503, "X-Shed: 1\r\n"));
+        return StartResult::Respond(Response::new(503, "X-Shed: 1\r\n"));
     }
     if state.mode == Mode::Fails {
         arrival.ended = Some((now, Ended::Failed));
         state.arrivals.push(arrival);
-        return Began::Answer(Answer::new(500, ""));
+        return StartResult::Respond(Response::new(500, ""));
     }
-    let mut lasts = match state.rng.generate_range(0..20u32) {
+    let mut duration = match state.rng.generate_range(0..20u32) {
         0 => Duration::from_millis(state.rng.generate_range(300..1200)),
         _ => Duration::from_millis(state.rng.generate_range(1..40)),
     };
     if let Mode::Slow(by) = state.mode {
-        lasts += by;
+        duration += by;
     }
-    let (id, number) = (arrival.id.clone(), state.arrivals.len());
+    let (id, index) = (arrival.id.clone(), state.arrivals.len());
     state.arrivals.push(arrival);
-    let work = Work { arrival: number, done: now + lasts, asked: now, given_up: false };
-    state.works.insert(id.clone(), work);
+    let statement = RunningStatement {
+        arrival_index: index,
+        finishes_at: now + duration,
+        last_polled: now,
+        cancelled: false,
+    };
+    state.running.insert(id.clone(), statement);
     match state.mode {
-        Mode::Resets => Began::Resets,
-        _ => Began::Works(id),
+        Mode::Resets => StartResult::Reset,
+        _ => StartResult::Running(id),
     }
 }
 
-fn give_up(id: &str, state: &Mutex<State>) -> Option<Answer> {
+fn cancel(id: &str, state: &Mutex<State>) -> Option<Response> {
     let mut state = lock(state);
     if state.mode == Mode::Hangs {
         return None;
     }
-    let State { works, arrivals, .. } = &mut *state;
-    if let Some(work) = works.get_mut(id) {
-        work.given_up = true;
-        let ended = &mut arrivals[work.arrival].ended;
-        *ended = ended.or(Some((Instant::now().min(work.done), Ended::GivenUp)));
+    let State { running, arrivals, .. } = &mut *state;
+    if let Some(statement) = running.get_mut(id) {
+        statement.cancelled = true;
+        let ended = &mut arrivals[statement.arrival_index].ended;
+        *ended = ended.or(Some((Instant::now().min(statement.finishes_at), Ended::GivenUp)));
     }
-    Some(Answer::new(204, ""))
+    Some(Response::new(204, ""))
 }
 
-/// Its end, or after a while that there is no news; none while the engine hangs.
-fn news(engine: &str, id: &str, page: usize, state: &Mutex<State>) -> Option<Answer> {
-    let gives_up = Instant::now() + NEWS;
+/// The result of a statement, or `202` if it still runs after the poll time; `None` while the engine hangs.
+fn poll_result(engine: &str, id: &str, page: usize, state: &Mutex<State>) -> Option<Response> {
+    let poll_until = Instant::now() + LONG_POLL_TIME;
     loop {
         let now = Instant::now();
         {
@@ -293,25 +310,27 @@
             if state.mode == Mode::Hangs {
                 return None;
             }
-            let State { works, arrivals, .. } = &mut *state;
-            let Some(work) = works.get_mut(id) else { return Some(Answer::new(500, "")) };
-            let ended = &mut arrivals[work.arrival].ended;
-            if work.given_up || (now > work.asked + FORGOTTEN && now < work.done) {
-                *ended = ended.or(Some((work.asked + FORGOTTEN, Ended::GivenUp)));
-                return Some(Answer::new(500, ""));
+            let State { running, arrivals, .. } = &mut *state;
+            let Some(statement) = running.get_mut(id) else { return Some(Response::new(500, "")) };
+            let ended = &mut arrivals[statement.arrival_index].ended;
+            if statement.cancelled
+                || (now > statement.last_polled + ORPHAN_RETENTION && now < statement.finishes_at)
+            {
+                *ended = ended.or(Some((statement.last_polled + ORPHAN_RETENTION, Ended::GivenUp)));
+                return Some(Response::new(500, ""));
             }
-            work.asked = now;
-            if now >= work.done {
-                *ended = ended.or(Some((work.done, Ended::Completed)));
-                let fields =
+            statement.last_polled = now;
+            if now >= statement.finishes_at {
+                *ended = ended.or(Some((statement.finishes_at, Ended::Completed)));
+                let headers =
                     if page == 0 { "Page-Count: 2\r\n".into() } else { format!("Page-No: {page}\r\n") };
                 let body = format!("{id}\t{engine}\t{page}\n").into_bytes();
-                return Some(Answer { status: 200, fields, body });
+                return Some(Response { status: 200, headers, body });
             }
         }
-        if now >= gives_up {
-            return Some(Answer::new(202, ""));
+        if now >= poll_until {
+            return Some(Response::new(202, ""));
         }
-        std::thread::sleep(STEP);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/rig/src/soak/faults.rs
+++ b/crates/rig/src/soak/faults.rs
@@ -1,121 +1,102 @@
-//! What goes wrong in a run, and when: drawn from a seed, with faults that overlap.
+//! The faults of a run and their times, generated from a seed; faults may overlap.
 
 use super::discovery::NameFaults;
 use super::engine::Mode;
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// One thing that is done to the fleet.
+/// One fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// An engine drains, ends after so long, and another takes its place.
-    Drain {
-        engine: usize,
-        ends_after: Duration,
-    },
-    /// An engine's process ends at once; another takes its place.
-    Crash {
-        engine: usize,
-    },
-    Engine {
-        engine: usize,
-        mode: Mode,
-        lasts: Duration,
-    },
-    /// One gateway's outlet of the name service, or all of them.
-    Names {
-        gateway: Option<usize>,
-        faults: NameFaults,
-        lasts: Duration,
-    },
-    /// The name service moves, so often in a row.
-    MoveNames {
-        gateway: usize,
-        times: u32,
-    },
-    Kill {
-        gateway: usize,
-        back_after: Duration,
-    },
-    Terminate {
-        gateway: usize,
-    },
-    /// SIGHUP, SIGTERM and both again, in series.
-    Signals {
-        gateway: usize,
-    },
-    /// The process stands still.
-    Stop {
-        gateway: usize,
-        lasts: Duration,
-    },
-    /// So many clients connect and say nothing.
-    Crowd {
-        gateway: usize,
-        many: usize,
-        lasts: Duration,
-    },
+    /// An engine drains, ends after `ends_after` and is replaced.
+    Drain { engine: usize, ends_after: Duration },
+    /// An engine's process ends at once and is replaced.
+    Crash { engine: usize },
+    /// An engine misbehaves as `mode` says.
+    Engine { engine: usize, mode: Mode, lasts: Duration },
+    /// The name server of one gateway, or of all of them, misbehaves.
+    Names { gateway: Option<usize>, faults: NameFaults, lasts: Duration },
+    /// The name server moves to another address, `times` times in a row.
+    MoveNames { gateway: usize, times: u32 },
+    /// SIGKILL; the gateway starts again after `back_after`.
+    Kill { gateway: usize, back_after: Duration },
+    /// SIGTERM; the gateway starts again once it has ended.
+    Terminate { gateway: usize },
+    /// SIGHUP twice, SIGTERM, SIGHUP and SIGTERM, one right after the other.
+    Signals { gateway: usize },
+    /// SIGSTOP; the process is paused until SIGCONT.
+    Stop { gateway: usize, lasts: Duration },
+    /// Clients that connect and send nothing.
+    Crowd { gateway: usize, many: usize, lasts: Duration },
 }
 
+/// Faults with the times at which they begin.
 pub type Plan = Vec<(Duration, Fault)>;
 
-/// What is drawn from.
+/// Parameters of the generated plan.
 #[derive(Clone, Copy, Debug)]
-pub struct Draw {
+pub struct FaultParameters {
     pub seed: u64,
     pub gateways: usize,
     pub engines: usize,
     pub faults: usize,
-    pub span: Duration,
+    pub duration: Duration,
     pub crowd: bool,
-    /// So many more faults: engines that read statements late, or are stopped.
+    /// Number of additional faults: engines that read statements late or are stopped.
     pub late_reads: usize,
 }
 
-pub fn draw(of: Draw) -> Plan {
-    let mut rng = WyRand::new_seed(of.seed);
-    let mut plan: Plan = (0..of.faults).map(|_| fault(&mut rng, of)).collect();
-    if of.crowd {
-        let at = between(&mut rng, 200, 2000);
-        let gateway = rng.generate_range(0..of.gateways);
-        plan.push((at, Fault::Crowd { gateway, many: 400, lasts: between(&mut rng, 2000, 5000) }));
+/// Generates a plan; the same parameters give the same plan.
+pub fn generate(parameters: FaultParameters) -> Plan {
+    let mut rng = WyRand::new_seed(parameters.seed);
+    let mut plan: Plan = (0..parameters.faults).map(|_| random_fault(&mut rng, parameters)).collect();
+    if parameters.crowd {
+        let at = random_duration(&mut rng, 200, 2000);
+        let gateway = rng.generate_range(0..parameters.gateways);
+        plan.push((at, Fault::Crowd { gateway, many: 400, lasts: random_duration(&mut rng, 2000, 5000) }));
     }
-    plan.extend((0..of.late_reads).map(|_| late_read(&mut rng, of)).collect::<Plan>());
+    plan.extend((0..parameters.late_reads).map(|_| random_late_read(&mut rng, parameters)).collect::<Plan>());
     plan.sort_by_key(|(at, _)| *at);
     plan
 }
 
-fn late_read(rng: &mut WyRand, of: Draw) -> (Duration, Fault) {
-    let at = between(rng, 700, of.span.as_millis() as u64);
-    let engine = rng.generate_range(0..of.engines);
+fn random_late_read(rng: &mut WyRand, parameters: FaultParameters) -> (Duration, Fault) {
+    let at = random_duration(rng, 700, parameters.duration.as_millis() as u64);
+    let engine = rng.generate_range(0..parameters.engines);
     let mode = match rng.generate_range(0..2u32) {
-        0 => Mode::ReadsLate(between(rng, 200, 1500)),
+        0 => Mode::ReadsLate(random_duration(rng, 200, 1500)),
         _ => Mode::Stopped,
     };
-    (at, Fault::Engine { engine, mode, lasts: between(rng, 300, 3000) })
+    (at, Fault::Engine { engine, mode, lasts: random_duration(rng, 300, 3000) })
 }
 
-fn between(rng: &mut WyRand, from: u64, until: u64) -> Duration {
+fn random_duration(rng: &mut WyRand, from: u64, until: u64) -> Duration {
     Duration::from_millis(rng.generate_range(from..until))
 }
 
-fn fault(rng: &mut WyRand, of: Draw) -> (Duration, Fault) {
-    let at = between(rng, 700, of.span.as_millis() as u64);
-    let (gateway, engine) = (rng.generate_range(0..of.gateways), rng.generate_range(0..of.engines));
+fn random_fault(rng: &mut WyRand, parameters: FaultParameters) -> (Duration, Fault) {
+    let at = random_duration(rng, 700, parameters.duration.as_millis() as u64);
+    let (gateway, engine) =
+        (rng.generate_range(0..parameters.gateways), rng.generate_range(0..parameters.engines));
     let fault = match rng.generate_range(0..24u32) {
-        0..=4 => Fault::Drain { engine, ends_after: between(rng, 1000, 5000) },
+        0..=4 => Fault::Drain { engine, ends_after: random_duration(rng, 1000, 5000) },
         5 => Fault::Crash { engine },
         6..=8 => {
-            let modes =
-                [Mode::Hangs, Mode::Full, Mode::Fails, Mode::Resets, Mode::Slow(between(rng, 50, 600))];
+            let modes = [
+                Mode::Hangs,
+                Mode::Full,
+                Mode::Fails,
+                Mode::Resets,
+                Mode::Slow(random_duration(rng, 50, 600)),
+            ];
             let mode = modes[rng.generate_range(0..modes.len())];
-            Fault::Engine { engine, mode, lasts: between(rng, 300, 4000) }
+            Fault::Engine { engine, mode, lasts: random_duration(rng, 300, 4000) }
         }
         9..=11 => {
             let dead_flows = rng.generate_range(0..3u32) == 0;
             let faults = NameFaults { silent: !dead_flows, dead_flows, ..NameFaults::default() };
-            let whose = (rng.generate_range(0..2u32) == 0).then_some(gateway);
-            Fault::Names { gateway: whose, faults, lasts: between(rng, 500, 4000) }
+            let target = (rng.generate_range(0..2u32) == 0).then_some(gateway);
+            Fault::Names { gateway: target, faults, lasts: random_duration(rng, 500, 4000) }
         }
         12 | 13 => {
             let faults = NameFaults {
@@ -124,17 +105,17 @@
                 cut: rng.generate_range(0..20u32),
                 other_id: rng.generate_range(0..20u32),
                 older: rng.generate_range(0..30u32),
-                late: between(rng, 0, 600),
+                late: random_duration(rng, 0, 600),
                 ..NameFaults::default()
             };
-            Fault::Names { gateway: None, faults, lasts: between(rng, 500, 4000) }
+            Fault::Names { gateway: None, faults, lasts: random_duration(rng, 500, 4000) }
         }
         14 => Fault::MoveNames { gateway, times: rng.generate_range(1..4u32) },
-        15 | 16 => Fault::Kill { gateway, back_after: between(rng, 50, 1500) },
+        15 | 16 => Fault::Kill { gateway, back_after: random_duration(rng, 50, 1500) },
         17 | 18 => Fault::Terminate { gateway },
         19 => Fault::Signals { gateway },
-        20..=22 => Fault::Stop { gateway, lasts: between(rng, 50, 2500) },
-        _ => Fault::Crowd { gateway, many: 150, lasts: between(rng, 500, 3000) },
+        20..=22 => Fault::Stop { gateway, lasts: random_duration(rng, 50, 2500) },
+        _ => Fault::Crowd { gateway, many: 150, lasts: random_duration(rng, 500, 3000) },
     };
     (at, fault)
 }
--- a/crates/rig/src/soak/gateways.rs
+++ b/crates/rig/src/soak/gateways.rs
@@ -1,9 +1,9 @@
-//! The gateways under test: processes of the program itself, each with its configuration, its outlet of the name service, its log
-//! and a record of its lives.
+//! The gateways under test: processes of the real program, each with its configuration, name server, log and
+//! a record of its process runs.
 
-use super::client::CLASSES;
-use super::discovery::{Discovery, Outlet, Told};
-use crate::world::own_address;
+use super::client::WORKLOADS;
+use super::discovery::{Discovery, NameServer, Notification};
+use crate::world::reserve_address;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::fs::{self, File};
@@ -14,51 +14,53 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A gateway is ready within this, or something is broken.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// SIGKILL comes as early as this after SIGTERM: the longest deadline, and 0.7 s.
+/// Time within which a started gateway must accept connections.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Earliest SIGKILL after SIGTERM: the longest deadline plus 0.7 s.
 pub const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
 
-/// What the platform knows of a gateway.
+/// The state of a gateway as the platform sees it.
 #[derive(Clone, Copy, Debug)]
 pub enum Phase {
-    Serves,
-    Terminates(Instant),
+    Serving,
+    Terminating(Instant),
     Down,
 }
 
 /// How a process of a gateway ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// SIGKILL, out of the blue.
+    /// SIGKILL without a SIGTERM before it.
     Killed,
-    /// By itself after SIGTERM, with this code.
+    /// It ended by itself after SIGTERM, with this exit code.
     Terminated(Option<i32>),
-    /// SIGKILL when its time after SIGTERM was over.
+    /// SIGKILL because it was still running `KILL_AFTER_TERM` after SIGTERM.
     KilledAfterTerm,
+    /// It ended by itself without a SIGTERM.
     Crashed,
 }
 
-/// One process, from its start to its end.
+/// One process of a gateway.
 #[derive(Clone, Debug)]
-pub struct Life {
-    pub started: Instant,
-    /// The number of the list that it was started with.
-    pub known: u32,
-    pub terminated: Option<Instant>,
+pub struct ProcessRun {
+    pub started_at: Instant,
+    /// Serial of the engine list in its configuration.
+    pub list_serial: u32,
+    pub terminated_at: Option<Instant>,
     pub ended: Option<(Instant, Exit)>,
 }
 
+/// A gateway, which outlives its processes.
 pub struct Gateway {
     pub number: usize,
     pub address: SocketAddr,
     pub phase: Arc<Mutex<Phase>>,
-    pub lives: Vec<Life>,
-    /// From when until when its process stood still.
-    pub stops: Vec<(Instant, Option<Instant>)>,
-    outlet: Outlet,
-    /// Outlets that the configuration named before, and what they told.
-    earlier: Vec<Outlet>,
+    pub runs: Vec<ProcessRun>,
+    /// Start and end of each pause of its process.
+    pub pauses: Vec<(Instant, Option<Instant>)>,
+    name_server: NameServer,
+    /// Name servers that earlier configurations named, with the notifications they sent.
+    previous_name_servers: Vec<NameServer>,
     child: Option<Child>,
     dir: PathBuf,
     program: PathBuf,
@@ -67,13 +69,13 @@
     seed: u64,
 }
 
-/// The settings that all gateways of a fleet are started with.
+/// The settings of all gateways of a fleet.
 pub fn settings(gateways: usize, second_copies: bool) -> Value {
-    let profile = |class: &super::client::Class| {
-        json!({"name": class.name, "promiseUs": 400_000, "deadlineUs": class.deadline.as_micros() as u64,
-            "effect": class.effect, "gain": 1, "memorySpanUs": 15_000_000})
+    let profile = |workload: &super::client::Workload| {
+        json!({"name": workload.name, "promiseUs": 400_000, "deadlineUs": workload.deadline.as_micros() as u64,
+            "effect": workload.effect, "gain": 1, "memorySpanUs": 15_000_000})
     };
-    let profiles: Vec<Value> = CLASSES.iter().map(profile).collect();
+    let profiles: Vec<Value> = WORKLOADS.iter().map(profile).collect();
     json!({
         "balancers": gateways, "rank": 0, "zone": "here", "tickUs": 5000, "kinds": ["std"],
         "tenants": [{"name": "acme"}], "domain": {"sizeCores": [64]}, "profiles": profiles,
@@ -84,6 +86,7 @@
 }
 
 impl Gateway {
+    /// A gateway that is not running yet, with a name server of its own.
     pub fn new(
         number: usize,
         discovery: &Discovery,
@@ -94,12 +97,12 @@
     ) -> io::Result<Gateway> {
         Ok(Gateway {
             number,
-            address: own_address(),
+            address: reserve_address(),
             phase: Arc::new(Mutex::new(Phase::Down)),
-            lives: Vec::new(),
-            stops: Vec::new(),
-            outlet: Outlet::open(discovery, seed)?,
-            earlier: Vec::new(),
+            runs: Vec::new(),
+            pauses: Vec::new(),
+            name_server: NameServer::start(discovery, seed)?,
+            previous_name_servers: Vec::new(),
             child: None,
             dir: dir.into(),
             program: program.into(),
@@ -109,20 +112,29 @@
         })
     }
 
-    pub fn outlet(&self) -> &Outlet {
-        &self.outlet
+    pub fn name_server(&self) -> &NameServer {
+        &self.name_server
     }
 
-    /// All that its outlets have told.
-    pub fn told(&self) -> Vec<Told> {
-        self.earlier.iter().chain([&self.outlet]).flat_map(Outlet::told).collect()
+    /// The notifications of all its name servers, past and present.
+    pub fn notifications(&self) -> Vec<Notification> {
+        self.previous_name_servers
+            .iter()
+            .chain([&self.name_server])
+            .flat_map(NameServer::notifications)
+            .collect()
     }
 
-    /// When the faults of its outlets changed.
-    pub fn name_changes(&self) -> Vec<Instant> {
-        self.earlier.iter().chain([&self.outlet]).flat_map(Outlet::changes).collect()
+    /// When the faults of its name servers changed.
+    pub fn name_fault_changes(&self) -> Vec<Instant> {
+        self.previous_name_servers
+            .iter()
+            .chain([&self.name_server])
+            .flat_map(NameServer::fault_changes)
+            .collect()
     }
 
+    /// Sets the state that clients see.
     pub fn set_phase(&self, phase: Phase) {
         *self.phase.lock().expect("phase") = phase;
     }
@@ -131,120 +143,126 @@
         self.dir.join(format!("log-{}", self.number))
     }
 
+    /// The log of all its processes.
     pub fn log(&self) -> String {
         fs::read_to_string(self.log_path()).unwrap_or_default()
     }
 
     fn write_configuration(&self) -> io::Result<(PathBuf, u32)> {
-        let (serial, known) = self.discovery.known();
+        let (serial, known) = self.discovery.configured_list();
         let configuration = json!({
             "name": format!("g-{}", self.number), "listen": self.address.to_string(), "seed": format!("{:x}", self.seed),
-            "limits": {"memory_mb": 64, "sockets": 512}, "names": self.outlet.address.to_string(),
+            "limits": {"memory_mb": 64, "sockets": 512}, "names": self.name_server.address.to_string(),
             "known": known, "settings": self.settings});
         let path = self.dir.join(format!("config-{}.json", self.number));
-        // Never half a file: a reload may read it at any time.
+        // Replaced by a rename, as a reload may read the file at any time.
         let next = path.with_extension("next");
         fs::write(&next, configuration.to_string())?;
         fs::rename(&next, &path)?;
         Ok((path, serial))
     }
 
+    /// Starts the process unless it runs, and returns once it accepts connections.
     pub fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
         }
-        let (path, known) = self.write_configuration()?;
+        let (path, list_serial) = self.write_configuration()?;
         let log = File::options().create(true).append(true).open(self.log_path())?;
         let mut command = Command::new(&self.program);
         command.args(["serve", "--config"]).arg(path).arg("--ends-with-its-parent");
         command.env_remove("EDGE_LISTEN").env_remove("EDGE_NAME");
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?;
         self.child = Some(child);
-        let started = Instant::now();
-        self.lives.push(Life { started, known, terminated: None, ended: None });
+        let started_at = Instant::now();
+        self.runs.push(ProcessRun { started_at, list_serial, terminated_at: None, ended: None });
         while TcpStream::connect(self.address).is_err() {
-            if self.look() || started.elapsed() > READY_WITHIN {
+            if self.poll() || started_at.elapsed() > STARTUP_TIMEOUT {
                 return Err(io::Error::other(format!("gateway {}: {}", self.number, self.log())));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        self.set_phase(Phase::Serves);
+        self.set_phase(Phase::Serving);
         Ok(())
     }
 
+    /// Sends a signal to the process, if it runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Its process stands still until it is told to go on.
-    pub fn stop(&mut self) {
-        if self.stops.last().is_none_or(|(_, until)| until.is_some()) {
-            self.stops.push((Instant::now(), None));
+    /// Pauses the process by SIGSTOP.
+    pub fn pause(&mut self) {
+        if self.pauses.last().is_none_or(|(_, until)| until.is_some()) {
+            self.pauses.push((Instant::now(), None));
         }
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&mut self) {
+    /// Resumes the process by SIGCONT.
+    pub fn resume(&mut self) {
         self.signal(Signal::CONT);
-        self.stops.iter_mut().for_each(|(_, until)| *until = until.or(Some(Instant::now())));
+        self.pauses.iter_mut().for_each(|(_, until)| *until = until.or(Some(Instant::now())));
     }
 
-    /// SIGKILL out of the blue.
+    /// Ends the process by SIGKILL.
     pub fn kill(&mut self) {
         self.set_phase(Phase::Down);
-        self.end(Exit::Killed);
+        self.kill_with(Exit::Killed);
     }
 
-    /// SIGTERM; `look` sees to the rest.
+    /// Sends SIGTERM; `poll` records the end of the process.
     pub fn terminate(&mut self) {
-        let Some(life) = self.lives.last_mut().filter(|life| life.ended.is_none()) else { return };
+        let Some(run) = self.runs.last_mut().filter(|run| run.ended.is_none()) else { return };
         let now = Instant::now();
-        life.terminated.get_or_insert(now);
-        self.set_phase(Phase::Terminates(now));
+        run.terminated_at.get_or_insert(now);
+        self.set_phase(Phase::Terminating(now));
         self.signal(Signal::TERM);
     }
 
-    /// Whether its process has ended, which is put on record; one whose time after SIGTERM is over is killed.
-    pub fn look(&mut self) -> bool {
+    /// Whether the process has ended, which is recorded; one that outlasts its time after SIGTERM is killed.
+    pub fn poll(&mut self) -> bool {
         let Some(child) = &mut self.child else { return true };
-        let terminated = self.lives.last().and_then(|life| life.terminated);
+        let terminated_at = self.runs.last().and_then(|run| run.terminated_at);
         if let Ok(Some(status)) = child.try_wait() {
-            let exit = if terminated.is_some() { Exit::Terminated(status.code()) } else { Exit::Crashed };
-            self.ended(exit);
+            let exit = if terminated_at.is_some() { Exit::Terminated(status.code()) } else { Exit::Crashed };
+            self.record_exit(exit);
             return true;
         }
-        if terminated.is_some_and(|at| at.elapsed() >= KILL_AFTER_TERM) {
-            self.end(Exit::KilledAfterTerm);
+        if terminated_at.is_some_and(|at| at.elapsed() >= KILL_AFTER_TERM) {
+            self.kill_with(Exit::KilledAfterTerm);
             return true;
         }
         false
     }
 
-    fn end(&mut self, exit: Exit) {
+    fn kill_with(&mut self, exit: Exit) {
         if self.child.is_some() {
             self.signal(Signal::KILL);
-            self.ended(exit);
+            self.record_exit(exit);
         }
     }
 
-    fn ended(&mut self, exit: Exit) {
+    fn record_exit(&mut self, exit: Exit) {
         self.set_phase(Phase::Down);
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
         }
-        if let Some(life) = self.lives.last_mut() {
-            life.ended = Some((Instant::now(), exit));
+        if let Some(run) = self.runs.last_mut() {
+            run.ended = Some((Instant::now(), exit));
         }
     }
 
-    /// A new configuration that names another outlet, and SIGHUP. The earlier outlet no longer answers.
-    pub fn move_names(&mut self) -> io::Result<()> {
-        let next = Outlet::open(&self.discovery, self.seed + 1 + self.earlier.len() as u64)?;
-        let before = std::mem::replace(&mut self.outlet, next);
-        before.set(super::discovery::NameFaults { silent: true, ..Default::default() });
-        self.earlier.push(before);
+    /// Writes a configuration that names a new name server and sends SIGHUP. The previous name server no
+    /// longer answers.
+    pub fn move_name_server(&mut self) -> io::Result<()> {
+        let next =
+            NameServer::start(&self.discovery, self.seed + 1 + self.previous_name_servers.len() as u64)?;
+        let previous = std::mem::replace(&mut self.name_server, next);
+        previous.set_faults(super::discovery::NameFaults { silent: true, ..Default::default() });
+        self.previous_name_servers.push(previous);
         self.write_configuration()?;
         self.signal(Signal::HUP);
         Ok(())
@@ -253,6 +271,6 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        self.end(Exit::Killed);
+        self.kill_with(Exit::Killed);
     }
 }
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -1,72 +1,82 @@
-//! What must hold whatever breaks, judged from the records of clients, engines, the name service and the gateways' processes.
+//! Checks the invariants against the records of clients, engines, the name service and gateway processes.
 
-use super::client::{Class, End, Request, ANSWER_SLACK, CLASSES};
-use super::discovery::{Departure, Told};
+use super::client::{Request, RequestOutcome, Workload, ANSWER_SLACK, WORKLOADS};
+use super::discovery::{Departure, Notification};
 use super::engine::{Arrival, Ended};
-use super::gateways::{Exit, Life};
+use super::gateways::{Exit, ProcessRun};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// What the name service has to tell counts as told so long after it happened, whether or not it was heard.
-const TOLD_WITHIN: Duration = Duration::from_millis(1500);
-/// The grace of the settings, and the slack of the rules on sockets.
+/// A change of the engine list counts as known to a gateway after this time, whether or not an answer reached
+/// it.
+const NOTIFICATION_LIMIT: Duration = Duration::from_millis(1500);
+/// `stopSendingWithinUs` of the settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
+/// Slack of the drain rule, whose effect is observed over sockets.
 const RULE_SLACK: Duration = Duration::from_millis(50);
-/// An attempt that begins longer after its client has gone than this breaks a rule.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// An engine may be passed so much more than the deadline that the client has left.
+/// An attempt may start this long after its client disconnected.
+const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// The deadline passed to an engine may exceed the client's remaining time by this much.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// A request that crosses the end of a resting connection within this is sent again.
-const CROSSING: Duration = Duration::from_millis(50);
-/// Lateness of this machine under which nothing is said of it.
-const NOTICEABLE: Duration = Duration::from_millis(5);
+/// A request on a reused connection that closes within this time raced with the close of an idle connection;
+/// real clients repeat it.
+const IDLE_CLOSE_RACE: Duration = Duration::from_millis(50);
+/// Timer lateness below this is not recorded.
+const MIN_RECORDED_LATENESS: Duration = Duration::from_millis(5);
 
+/// The rules that every run must keep; the names are printed in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Each request gets its one final answer in time.
+    /// Each request gets exactly one final answer, in time.
     Answered,
-    /// Served is what an engine made for the request.
+    /// The rows of a result are those that one engine produced for the request.
     TrueRows,
-    /// Nothing begins for a client that has gone.
+    /// No attempt starts for a client that has disconnected.
     NothingForTheGone,
-    /// Nothing goes to an engine that drains or is removed, once that counts as told and the grace is over.
+    /// Nothing is sent to a draining or removed engine once the gateway counts as notified and the grace
+    /// period is over.
     DrainKept,
-    /// What may not be repeated runs once; where second copies are forbidden, one attempt is out at a time.
+    /// A non-repeatable statement runs once; where second copies are forbidden, one attempt is in flight at a
+    /// time.
     NoDoubleEffect,
-    /// An engine is passed no more time than the client has left.
+    /// The deadline passed to an engine is no longer than the client's remaining time.
     DeadlinePassedOn,
-    /// The statement goes on unchanged.
+    /// The statement is forwarded unchanged.
     Unchanged,
-    /// No process crashes, and each ends by itself after SIGTERM, with the exit code 0.
+    /// No process crashes, and each ends by itself after SIGTERM with exit code 0.
     NoCrash,
-    /// No gateway counts a violation of its own guards.
+    /// No gateway reports a violation of its own internal checks.
     GuardsHold,
 }
 
+/// A broken invariant with a description of the case.
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub invariant: Invariant,
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.invariant, self.what)
+        write!(f, "{:?}: {}", self.invariant, self.description)
     }
 }
 
-/// How late this machine ran its own timers: a judge that is late itself proves nothing by so much.
+/// How late timers of the test process fired and when. Time limits are relaxed by this, as the records are
+/// late by as much.
 #[derive(Clone, Debug, Default)]
 pub struct Lateness(pub Vec<(Instant, Duration)>);
 
 impl Lateness {
-    pub fn note(&mut self, at: Instant, late: Duration) {
-        if late >= NOTICEABLE {
+    /// Records a timer that fired late, unless the lateness is negligible.
+    pub fn record(&mut self, at: Instant, late: Duration) {
+        if late >= MIN_RECORDED_LATENESS {
             self.0.push((at, late));
         }
     }
 
+    /// Sum of the lateness recorded in a span.
     pub fn within(&self, from: Instant, until: Instant) -> Duration {
         let from = from.checked_sub(Duration::from_millis(50)).unwrap_or(from);
         self.0
@@ -76,20 +86,21 @@
             .sum()
     }
 
-    pub fn worst(&self) -> Duration {
+    /// The largest recorded lateness.
+    pub fn max(&self) -> Duration {
         self.0.iter().map(|(_, late)| *late).max().unwrap_or_default()
     }
 }
 
-/// What a gateway left behind.
+/// The records of one gateway.
 pub struct GatewayRecord {
     pub number: usize,
-    pub lives: Vec<Life>,
-    pub told: Vec<Told>,
-    /// When the faults of its name service changed.
-    pub name_changes: Vec<Instant>,
-    /// From when until when its process stood still.
-    pub stops: Vec<(Instant, Option<Instant>)>,
+    pub runs: Vec<ProcessRun>,
+    pub notifications: Vec<Notification>,
+    /// When the faults of its name server changed.
+    pub name_fault_changes: Vec<Instant>,
+    /// Start and end of each pause of its process.
+    pub pauses: Vec<(Instant, Option<Instant>)>,
     pub log: String,
 }
 
@@ -98,15 +109,16 @@
     pub requests: Vec<Request>,
     pub arrivals: Vec<Arrival>,
     pub departures: Vec<Departure>,
-    /// When engines' processes ended.
-    pub ends: HashMap<String, Instant>,
+    /// When each ended engine ended, by engine id.
+    pub engine_ends: HashMap<String, Instant>,
     pub gateways: Vec<GatewayRecord>,
     pub second_copies: bool,
     pub lateness: Lateness,
-    pub began: Instant,
+    pub started_at: Instant,
 }
 
 impl Records {
+    /// All violations of the invariants.
     pub fn judge(&self) -> Vec<Violation> {
         let requests: HashMap<&str, &Request> =
             self.requests.iter().map(|request| (request.id.as_str(), request)).collect();
@@ -114,74 +126,77 @@
         for arrival in &self.arrivals {
             by_id.entry(&arrival.id).or_default().push(arrival);
         }
-        by_id.values_mut().for_each(|arrivals| arrivals.sort_by_key(|arrival| arrival.at));
+        by_id.values_mut().for_each(|arrivals| arrivals.sort_by_key(|arrival| arrival.read_at));
         let mut found = Vec::new();
         for request in &self.requests {
             let arrivals = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-            self.answered(request, arrivals, &mut found);
+            self.check_answer(request, arrivals, &mut found);
         }
         for (id, arrivals) in &by_id {
             let Some(request) = requests.get(id) else { continue };
-            self.attempts(request, arrivals, &mut found);
+            self.check_attempts(request, arrivals, &mut found);
         }
-        self.gateways.iter().for_each(|gateway| self.process(gateway, &mut found));
+        self.gateways.iter().for_each(|gateway| self.check_process(gateway, &mut found));
         found
     }
 
-    /// Statements that came to an engine and that no client here sent.
-    pub fn strangers(&self) -> usize {
+    /// Number of statements that reached an engine although no client of this run sent them.
+    pub fn foreign_attempts(&self) -> usize {
         let requests: HashSet<&str> = self.requests.iter().map(|request| request.id.as_str()).collect();
         self.arrivals.iter().filter(|arrival| !requests.contains(arrival.id.as_str())).count()
     }
 
-    fn at(&self, at: Instant) -> String {
-        format!("{:.3}", at.saturating_duration_since(self.began).as_secs_f64())
+    fn format_time(&self, at: Instant) -> String {
+        format!("{:.3}", at.saturating_duration_since(self.started_at).as_secs_f64())
     }
 
-    fn say(&self, request: &Request) -> String {
-        let class = CLASSES[request.class].name;
-        format!("{} {class} at g-{} sent {}", request.id, request.gateway, self.at(request.sent))
+    fn describe(&self, request: &Request) -> String {
+        let class = WORKLOADS[request.workload].name;
+        format!("{} {class} at g-{} sent {}", request.id, request.gateway, self.format_time(request.sent_at))
     }
 
-    /// For how much of a span a gateway's process was stopped from outside.
-    fn stopped(&self, gateway: usize, from: Instant, until: Instant) -> Duration {
+    /// For how long within a span a gateway's process was paused.
+    fn paused_time(&self, gateway: usize, from: Instant, until: Instant) -> Duration {
         let record = self.gateways.iter().find(|record| record.number == gateway);
-        let stops = record.into_iter().flat_map(|record| &record.stops);
+        let pauses = record.into_iter().flat_map(|record| &record.pauses);
         let within = |(since, to): &(Instant, Option<Instant>)| {
             to.unwrap_or(until).min(until).saturating_duration_since((*since).max(from))
         };
-        stops.map(within).sum()
+        pauses.map(within).sum()
     }
 
-    fn life(&self, gateway: usize, at: Instant) -> Option<&Life> {
-        let lives = &self.gateways.iter().find(|record| record.number == gateway)?.lives;
-        lives.iter().rev().find(|life| life.started <= at)
+    /// The process of a gateway at a time.
+    fn run_at(&self, gateway: usize, at: Instant) -> Option<&ProcessRun> {
+        let runs = &self.gateways.iter().find(|record| record.number == gateway)?.runs;
+        runs.iter().rev().find(|run| run.started_at <= at)
     }
 
-    fn answered(&self, request: &Request, arrivals: &[&Arrival], found: &mut Vec<Violation>) {
+    fn check_answer(&self, request: &Request, arrivals: &[&Arrival], found: &mut Vec<Violation>) {
         let mut add = |invariant, what: String| {
-            found.push(Violation { invariant, what: format!("{}: {what}", self.say(request)) });
+            found.push(Violation { invariant, description: format!("{}: {what}", self.describe(request)) });
         };
-        match &request.end {
-            End::WrongRows(answer) => add(Invariant::TrueRows, answer.clone()),
-            End::NoAnswer { connection_ended, after } => {
-                let killed = self
-                    .life(request.gateway, request.sent)
-                    .and_then(|life| life.ended)
-                    .is_some_and(|(at, exit)| exit == Exit::Killed && at <= request.ended + GONE_SLACK);
-                let slack = self.lateness.within(request.sent, request.ended);
-                let crossed = *connection_ended && request.reused && *after <= CROSSING + slack;
-                // One that crossed the end of its connection is lost all the same if it was read and sent on.
-                let lost = if crossed { !arrivals.is_empty() } else { true };
-                // No process answers while it is stopped; a stop that leaves it the slack excuses nothing.
-                let stopped = self.stopped(request.gateway, request.sent, request.ended);
-                let late_harness = !*connection_ended && slack + stopped >= ANSWER_SLACK;
+        match &request.outcome {
+            RequestOutcome::WrongRows(answer) => add(Invariant::TrueRows, answer.clone()),
+            RequestOutcome::NoAnswer { connection_ended, after } => {
+                let killed =
+                    self.run_at(request.gateway, request.sent_at).and_then(|run| run.ended).is_some_and(
+                        |(at, exit)| exit == Exit::Killed && at <= request.ended_at + DISCONNECT_SLACK,
+                    );
+                let slack = self.lateness.within(request.sent_at, request.ended_at);
+                let closed_while_idle =
+                    *connection_ended && request.reused_connection && *after <= IDLE_CLOSE_RACE + slack;
+                // A request that raced with the close of its connection is lost all the same if the gateway
+                // read and forwarded it.
+                let lost = if closed_while_idle { !arrivals.is_empty() } else { true };
+                // A paused process can't answer; a pause shorter than the slack is no excuse.
+                let paused = self.paused_time(request.gateway, request.sent_at, request.ended_at);
+                let late_harness = !*connection_ended && slack + paused >= ANSWER_SLACK;
                 if lost && !killed && !late_harness {
-                    let how = if *connection_ended { "its connection ended" } else { "its time ended" };
+                    let how = if *connection_ended { "connection closed" } else { "timed out" };
                     let seen = arrivals.len();
                     add(
                         Invariant::Answered,
-                        format!("{how} {after:?} after it was sent, {seen} attempts seen"),
+                        format!("{how} {after:?} after the request was sent, {seen} attempts seen"),
                     );
                 }
             }
@@ -189,109 +204,130 @@
         }
     }
 
-    /// What a gateway sends counts from when it came to its engine; that an attempt is out, from when that read it.
-    fn attempts(&self, request: &Request, arrivals: &[&Arrival], found: &mut Vec<Violation>) {
-        let Class { deadline, repeatable, .. } = CLASSES[request.class];
+    /// An attempt counts as sent when its first byte reached the engine, and as in flight from when the
+    /// engine read it.
+    fn check_attempts(&self, request: &Request, arrivals: &[&Arrival], found: &mut Vec<Violation>) {
+        let Workload { deadline, repeatable, .. } = WORKLOADS[request.workload];
         let mut add = |invariant, what: String| {
-            found.push(Violation { invariant, what: format!("{}: {what}", self.say(request)) });
+            found.push(Violation { invariant, description: format!("{}: {what}", self.describe(request)) });
         };
         for (number, arrival) in arrivals.iter().enumerate() {
-            let where_ = format!("attempt {number} at {} {}", arrival.engine, self.at(arrival.at));
-            let slack = self.lateness.within(request.sent, arrival.came);
+            let attempt =
+                format!("attempt {number} at {} {}", arrival.engine, self.format_time(arrival.read_at));
+            let slack = self.lateness.within(request.sent_at, arrival.received_at);
             if arrival.body != request.body.as_bytes() {
-                add(Invariant::Unchanged, where_.clone());
+                add(Invariant::Unchanged, attempt.clone());
             }
-            let left = (request.sent + deadline).saturating_duration_since(arrival.came);
+            let remaining = (request.sent_at + deadline).saturating_duration_since(arrival.received_at);
             let passed = Duration::from_millis(arrival.max_ms);
-            if passed > left + DEADLINE_SLACK + slack {
-                add(Invariant::DeadlinePassedOn, format!("{where_}: {passed:?} passed, {left:?} left"));
+            if passed > remaining + DEADLINE_SLACK + slack {
+                add(
+                    Invariant::DeadlinePassedOn,
+                    format!("{attempt}: {passed:?} passed, {remaining:?} remaining"),
+                );
             }
-            if let Some(gone) = request.left.filter(|gone| arrival.came > *gone + GONE_SLACK) {
-                let late = arrival.came - gone;
-                if late > GONE_SLACK + self.lateness.within(gone, arrival.came) {
-                    add(Invariant::NothingForTheGone, format!("{where_}, {late:?} after its client left"));
+            if let Some(disconnected_at) =
+                request.disconnected_at.filter(|at| arrival.received_at > *at + DISCONNECT_SLACK)
+            {
+                let late = arrival.received_at - disconnected_at;
+                if late > DISCONNECT_SLACK + self.lateness.within(disconnected_at, arrival.received_at) {
+                    add(
+                        Invariant::NothingForTheGone,
+                        format!("{attempt}, {late:?} after its client disconnected"),
+                    );
                 }
             }
-            if let Some(told) = self.told_of(request.gateway, arrival) {
-                let late = arrival.came.saturating_duration_since(told);
-                let allowed = DRAIN_GRACE + RULE_SLACK + self.lateness.within(told, arrival.came);
+            if let Some(notified) = self.notified_at(request.gateway, arrival) {
+                let late = arrival.received_at.saturating_duration_since(notified);
+                let allowed = DRAIN_GRACE + RULE_SLACK + self.lateness.within(notified, arrival.received_at);
                 if late > allowed {
                     let when = self
                         .departures
                         .iter()
                         .find(|of| of.engine == arrival.engine)
-                        .map(|of| self.at(of.at));
-                    let told = self.at(told);
+                        .map(|of| self.format_time(of.at));
+                    let notified = self.format_time(notified);
                     let what = format!(
-                        "{where_}, {late:?} after that counts as told (drained {when:?}, told {told})"
+                        "{attempt}, {late:?} after the gateway counts as notified (drained {when:?}, notified {notified})"
                     );
                     add(Invariant::DrainKept, what);
                 }
             }
-            let Some(before) = number.checked_sub(1).map(|before| arrivals[before]) else { continue };
-            let never_ran = matches!(before.ended, Some((_, Ended::TurnedAway)));
+            let Some(previous) = number.checked_sub(1).map(|previous| arrivals[previous]) else { continue };
+            let never_ran = matches!(previous.ended, Some((_, Ended::TurnedAway)));
             if !repeatable && !never_ran {
                 add(
                     Invariant::NoDoubleEffect,
-                    format!("{where_} after one that may have run at {}", before.engine),
+                    format!("{attempt} after one that may have run at {}", previous.engine),
                 );
             }
-            if !self.second_copies && arrival.at < self.over(before) {
-                let other = (self.at(before.at), before.ended.map(|(at, how)| (self.at(at), how)));
-                let end = self.ends.get(&before.engine).map(|at| self.at(*at));
+            if !self.second_copies && arrival.read_at < self.latest_end(previous) {
+                let other = (
+                    self.format_time(previous.read_at),
+                    previous.ended.map(|(at, how)| (self.format_time(at), how)),
+                );
+                let end = self.engine_ends.get(&previous.engine).map(|at| self.format_time(*at));
                 let what = format!(
-                    "{where_} beside one that is out at {} {other:?}, its end {end:?}",
-                    before.engine
+                    "{attempt} while another is in flight at {} {other:?}, engine ended {end:?}",
+                    previous.engine
                 );
                 add(Invariant::NoDoubleEffect, what);
             }
         }
     }
 
-    /// When an attempt was surely over: its engine had ended it, or had ended itself.
-    fn over(&self, attempt: &Arrival) -> Instant {
-        let ended = attempt.ended.map_or(attempt.at + Duration::from_secs(2), |(at, _)| at);
-        self.ends.get(&attempt.engine).map_or(ended, |end| ended.min(*end))
+    /// The latest time at which an attempt can have ended: when its engine ended it, or the engine itself
+    /// ended.
+    fn latest_end(&self, attempt: &Arrival) -> Instant {
+        let ended = attempt.ended.map_or(attempt.read_at + Duration::from_secs(2), |(at, _)| at);
+        self.engine_ends.get(&attempt.engine).map_or(ended, |end| ended.min(*end))
     }
 
-    /// When the gateway counts as told that the engine drains or is gone.
-    fn told_of(&self, gateway: usize, arrival: &Arrival) -> Option<Instant> {
+    /// When the gateway counts as notified that the engine drains or was removed.
+    fn notified_at(&self, gateway: usize, arrival: &Arrival) -> Option<Instant> {
         let departure = self.departures.iter().find(|departure| departure.engine == arrival.engine)?;
-        let life = self.life(gateway, arrival.came)?;
-        if life.known >= departure.serial {
-            return Some(life.started);
+        let run = self.run_at(gateway, arrival.received_at)?;
+        if run.list_serial >= departure.serial {
+            return Some(run.started_at);
         }
         let record = self.gateways.iter().find(|record| record.number == gateway)?;
-        // An answer on a dead path tells whoever asks again from another socket, unless another fault follows before that can be heard.
-        let binds = |told: &Told| {
-            let heard_by = told.at + DRAIN_GRACE + RULE_SLACK;
-            !told.on_dead_path || !record.name_changes.iter().any(|at| (told.at..heard_by).contains(at))
+        // An answer on a dead path reaches a gateway that asks again from another socket, unless another
+        // fault begins before it can.
+        let counts = |notification: &Notification| {
+            let received_by = notification.sent_at + DRAIN_GRACE + RULE_SLACK;
+            !notification.on_dead_path
+                || !record
+                    .name_fault_changes
+                    .iter()
+                    .any(|at| (notification.sent_at..received_by).contains(at))
         };
         let answers = record
-            .told
+            .notifications
             .iter()
-            .filter(|told| told.at >= life.started && told.serial >= departure.serial && binds(told));
-        let by_answer = answers.map(|told| told.at).min();
-        let at_latest = (departure.at + TOLD_WITHIN).max(life.started);
+            .filter(|sent| sent.sent_at >= run.started_at && sent.serial >= departure.serial && counts(sent));
+        let by_answer = answers.map(|sent| sent.sent_at).min();
+        let at_latest = (departure.at + NOTIFICATION_LIMIT).max(run.started_at);
         Some(by_answer.map_or(at_latest, |at| at.min(at_latest)))
     }
 
-    fn process(&self, gateway: &GatewayRecord, found: &mut Vec<Violation>) {
+    fn check_process(&self, gateway: &GatewayRecord, found: &mut Vec<Violation>) {
         let mut add = |invariant, what: String| {
-            found.push(Violation { invariant, what: format!("g-{}: {what}", gateway.number) });
+            found.push(Violation { invariant, description: format!("g-{}: {what}", gateway.number) });
         };
-        for life in &gateway.lives {
-            match life.ended {
-                Some((at, Exit::Crashed)) => add(Invariant::NoCrash, format!("crashed at {}", self.at(at))),
+        for run in &gateway.runs {
+            match run.ended {
+                Some((at, Exit::Crashed)) => {
+                    add(Invariant::NoCrash, format!("crashed at {}", self.format_time(at)))
+                }
                 Some((at, Exit::Terminated(code))) if code != Some(0) => {
-                    add(Invariant::NoCrash, format!("ended with {code:?} at {}", self.at(at)));
+                    add(Invariant::NoCrash, format!("ended with {code:?} at {}", self.format_time(at)));
                 }
                 Some((at, Exit::KilledAfterTerm)) => {
-                    let slack = life.terminated.map(|since| self.lateness.within(since, at));
+                    let slack = run.terminated_at.map(|since| self.lateness.within(since, at));
                     if slack.unwrap_or_default() < Duration::from_millis(100) {
                         add(
                             Invariant::NoCrash,
-                            format!("still there when killed after SIGTERM, {}", self.at(at)),
+                            format!("still running when killed after SIGTERM, {}", self.format_time(at)),
                         );
                     }
                 }
--- a/crates/rig/src/soak/mod.rs
+++ b/crates/rig/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! A soak of the program itself: a few dozen gateways as processes, engines, a name service and clients on loopback, random faults that
-//! overlap, and a judge of the records that all of them leave.
+//! Soak test of the real program: a few dozen gateway processes, engines, a name service and clients on
+//! loopback, with overlapping random faults. The records of all of them are checked against the invariants in
+//! `judge`.
 
 pub mod client;
 pub mod discovery;
@@ -8,10 +9,10 @@
 pub mod gateways;
 pub mod judge;
 
-use client::{Clients, End};
+use client::{Clients, RequestOutcome};
 use discovery::{Discovery, Entry, NameFaults};
 use engine::{Engine, Mode};
-use faults::{Draw, Fault, Plan};
+use faults::{Fault, FaultParameters, Plan};
 use gateways::{settings, Gateway, Phase};
 use judge::{GatewayRecord, Lateness, Records, Violation};
 use rustix::process::Signal;
@@ -23,16 +24,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often the run looks what is due.
-const STEP: Duration = Duration::from_millis(2);
-/// A new engine takes the place of one that left after this.
-const REPLACED_AFTER: Duration = Duration::from_millis(300);
-/// Faults heal within this after the last one began, and the fleet serves for so long afterwards.
-const HEALS_WITHIN: Duration = Duration::from_secs(5);
+/// Interval at which a run performs the actions that are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Delay between the end of an engine and the start of its replacement.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(300);
+/// Time that the fleet keeps serving after the last fault began; every fault is undone within it.
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// Digits of a request's id, and the most lines of logs that a report holds.
-const ID_LENGTH: usize = 16;
-const MOST_TRACED: usize = 200;
+/// Digits of a request id.
+const REQUEST_ID_DIGITS: usize = 16;
+/// Largest number of log lines in a report.
+const MAX_TRACE_LINES: usize = 200;
 
 /// The size of a run.
 #[derive(Clone, Copy, Debug)]
@@ -40,15 +42,15 @@
     pub gateways: usize,
     pub engines: usize,
     pub clients_each: usize,
-    /// A client's mean pause between two requests.
-    pub every: Duration,
+    /// Mean pause of a client between two requests.
+    pub request_interval: Duration,
     pub faults: usize,
-    /// Faults beyond those: engines that read late.
+    /// Additional faults: engines that read statements late or are stopped.
     pub late_reads: usize,
-    pub span: Duration,
+    pub duration: Duration,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
     pub seed: u64,
@@ -56,72 +58,74 @@
     pub served: usize,
     pub refused: usize,
     pub attempts: usize,
-    /// Statements that came to an engine and that no client of this run sent: from another run beside it, whose engine had had the
-    /// address before.
-    pub strangers: usize,
+    /// Statements that reached an engine although no client of this run sent them: they come from another run
+    /// on this machine, one of whose engines had the address before.
+    pub foreign_attempts: usize,
     pub violations: Vec<Violation>,
     pub worst_lateness: Duration,
-    /// What gateways logged of the requests that violations name; with `BRAMBLEWHARF_LOG=debug` each step of them.
+    /// Log lines of the gateways about the requests that violations name; with `BRAMBLEWHARF_LOG=debug`,
+    /// every step of them.
     pub traces: Vec<String>,
-    /// What was done to the fleet.
+    /// The faults that were injected.
     pub plan: Plan,
 }
 
-/// Something that is to be undone or to follow.
-enum Later {
-    End(usize),
-    Replace(usize),
-    Engine(usize),
-    Names(Option<usize>),
-    Start(usize),
-    Continue(usize),
-    Disperse,
+/// A scheduled action that undoes a fault or follows from one.
+enum Action {
+    EndEngine(usize),
+    ReplaceEngine(usize),
+    RestoreEngine(usize),
+    RestoreNameService(Option<usize>),
+    StartGateway(usize),
+    ResumeGateway(usize),
+    DisconnectCrowd,
 }
 
-/// A fleet that serves.
+/// A running fleet with its engines and name service.
 pub struct Fleet {
     pub discovery: Discovery,
-    /// In each place the engine that is there now, if any.
-    places: Vec<Option<Engine>>,
-    left: Vec<Engine>,
+    /// The current engine of each slot, if any.
+    engine_slots: Vec<Option<Engine>>,
+    ended_engines: Vec<Engine>,
     pub gateways: Vec<Gateway>,
-    later: Vec<(Instant, Later)>,
+    scheduled: Vec<(Instant, Action)>,
     crowds: Vec<Vec<TcpStream>>,
-    made: u64,
+    engines_started: u64,
     seed: u64,
     second_copies: bool,
-    ends: HashMap<String, Instant>,
+    engine_ends: HashMap<String, Instant>,
     lateness: Arc<Mutex<Lateness>>,
-    over: Arc<AtomicBool>,
-    began: Instant,
-    ids: Arc<AtomicU64>,
+    shutdown: Arc<AtomicBool>,
+    started_at: Instant,
+    next_request_id: Arc<AtomicU64>,
     _dir: tempfile::TempDir,
 }
 
 impl Fleet {
-    /// Engines, the name service and gateways, ready to serve; `program` is the one that serves.
+    /// Starts engines, the name service and gateways, and returns once they serve; `program` is the gateway
+    /// executable.
     pub fn start(gateways: usize, engines: usize, seed: u64, program: &Path) -> io::Result<Fleet> {
         let dir = tempfile::tempdir()?;
         let second_copies = seed.is_multiple_of(2);
         let mut fleet = Fleet {
             discovery: Discovery::default(),
-            places: (0..engines).map(|_| None).collect(),
-            left: Vec::new(),
+            engine_slots: (0..engines).map(|_| None).collect(),
+            ended_engines: Vec::new(),
             gateways: Vec::new(),
-            later: Vec::new(),
+            scheduled: Vec::new(),
             crowds: Vec::new(),
-            made: 0,
+            engines_started: 0,
             seed,
             second_copies,
-            ends: HashMap::new(),
+            engine_ends: HashMap::new(),
             lateness: Arc::default(),
-            over: Arc::default(),
-            began: Instant::now(),
-            ids: Arc::new(AtomicU64::new(first_id())),
+            shutdown: Arc::default(),
+            started_at: Instant::now(),
+            next_request_id: Arc::new(AtomicU64::new(first_request_id())),
             _dir: dir,
         };
-        for place in 0..engines {
-            fleet.replace(place)?;
+        for slot in 0..engines {
+            fleet.start_engine(slot)?;
         }
         for number in 0..gateways {
             let settings = settings(gateways, second_copies);
@@ -130,91 +134,95 @@
             gateway.start()?;
             fleet.gateways.push(gateway);
         }
-        fleet.watch_lateness();
+        fleet.record_timer_lateness();
         Ok(fleet)
     }
 
-    /// Records how late this machine runs a timer of its own.
-    fn watch_lateness(&self) {
-        let (lateness, over) = (self.lateness.clone(), self.over.clone());
+    /// Records by how much timers of this process fire late, on a thread of its own.
+    fn record_timer_lateness(&self) {
+        let (lateness, shutdown) = (self.lateness.clone(), self.shutdown.clone());
         std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                let due = Instant::now() + STEP;
-                std::thread::sleep(STEP);
+            while !shutdown.load(Ordering::Relaxed) {
+                let due = Instant::now() + POLL_INTERVAL;
+                std::thread::sleep(POLL_INTERVAL);
                 let now = Instant::now();
-                lateness.lock().expect("lateness").note(now, now.saturating_duration_since(due));
+                lateness.lock().expect("lateness").record(now, now.saturating_duration_since(due));
             }
         });
     }
 
-    pub fn clients(&self, gateway: usize, many: usize, every: Duration) -> Clients {
+    /// Starts `count` clients of a gateway.
+    pub fn clients(&self, gateway: usize, count: usize, mean_interval: Duration) -> Clients {
         let seed = self.seed.wrapping_mul(7919).wrapping_add(gateway as u64 * 101);
-        Clients::start(&self.gateways[gateway], many, every, seed, &self.ids)
+        Clients::start(&self.gateways[gateway], count, mean_interval, seed, &self.next_request_id)
     }
 
-    fn replace(&mut self, place: usize) -> io::Result<()> {
-        self.made += 1;
-        let id = format!("s-{:04}", self.made);
-        let engine = Engine::start(&id, self.seed.wrapping_add(self.made))?;
+    fn start_engine(&mut self, slot: usize) -> io::Result<()> {
+        self.engines_started += 1;
+        let id = format!("s-{:04}", self.engines_started);
+        let engine = Engine::start(&id, self.seed.wrapping_add(self.engines_started))?;
         let entry = Entry { id, address: engine.address, draining: false };
-        self.places[place] = Some(engine);
-        self.discovery.change(|list| list.push(entry));
+        self.engine_slots[slot] = Some(engine);
+        self.discovery.update(|list| list.push(entry));
         Ok(())
     }
 
-    pub fn drain(&mut self, place: usize) {
-        let Some(engine) = &self.places[place] else { return };
+    /// Starts to drain an engine and lists it as draining.
+    pub fn drain_engine(&mut self, slot: usize) {
+        let Some(engine) = &self.engine_slots[slot] else { return };
         engine.drain();
         let id = engine.id.clone();
-        self.discovery.change(|list| {
+        self.discovery.update(|list| {
             list.iter_mut().filter(|entry| entry.id == id).for_each(|entry| entry.draining = true);
         });
     }
 
-    /// Its process ends, and the list no longer names it.
-    fn end(&mut self, place: usize) {
-        let Some(engine) = self.places[place].take() else { return };
-        // Whoever sees its end sees it later than this.
-        self.ends.insert(engine.id.clone(), Instant::now());
-        engine.end();
+    /// Ends an engine, removes it from the list and schedules its replacement.
+    fn end_engine(&mut self, slot: usize) {
+        let Some(engine) = self.engine_slots[slot].take() else { return };
+        // Recorded before the end itself: nothing can observe the end earlier than this.
+        self.engine_ends.insert(engine.id.clone(), Instant::now());
+        engine.shut_down();
         let id = engine.id.clone();
-        self.discovery.change(|list| list.retain(|entry| entry.id != id));
-        self.left.push(engine);
-        self.after(REPLACED_AFTER, Later::Replace(place));
+        self.discovery.update(|list| list.retain(|entry| entry.id != id));
+        self.ended_engines.push(engine);
+        self.schedule(REPLACEMENT_DELAY, Action::ReplaceEngine(slot));
     }
 
-    fn after(&mut self, wait: Duration, what: Later) {
-        self.later.push((Instant::now() + wait, what));
+    fn schedule(&mut self, delay: Duration, action: Action) {
+        self.scheduled.push((Instant::now() + delay, action));
     }
 
-    pub fn names(&self, gateway: Option<usize>, faults: &NameFaults) {
+    /// Sets the faults of one gateway's name server, or of all of them.
+    pub fn set_name_faults(&self, gateway: Option<usize>, faults: &NameFaults) {
         let all = self.gateways.iter().filter(|of| gateway.is_none_or(|one| one == of.number));
-        all.for_each(|gateway| gateway.outlet().set(faults.clone()));
+        all.for_each(|gateway| gateway.name_server().set_faults(faults.clone()));
     }
 
-    pub fn cause(&mut self, fault: Fault) -> io::Result<()> {
+    /// Injects a fault and schedules what undoes it.
+    pub fn inject(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Drain { engine, ends_after } => {
-                self.drain(engine);
-                self.after(ends_after, Later::End(engine));
+                self.drain_engine(engine);
+                self.schedule(ends_after, Action::EndEngine(engine));
             }
-            Fault::Crash { engine } => self.end(engine),
+            Fault::Crash { engine } => self.end_engine(engine),
             Fault::Engine { engine, mode, lasts } => {
-                self.places[engine].iter().for_each(|engine| engine.set(mode));
-                self.after(lasts, Later::Engine(engine));
+                self.engine_slots[engine].iter().for_each(|engine| engine.set_mode(mode));
+                self.schedule(lasts, Action::RestoreEngine(engine));
             }
             Fault::Names { gateway, faults, lasts } => {
-                self.names(gateway, &faults);
-                self.after(lasts, Later::Names(gateway));
+                self.set_name_faults(gateway, &faults);
+                self.schedule(lasts, Action::RestoreNameService(gateway));
             }
             Fault::MoveNames { gateway, times } => {
                 for _ in 0..times {
-                    self.gateways[gateway].move_names()?;
+                    self.gateways[gateway].move_name_server()?;
                 }
             }
             Fault::Kill { gateway, back_after } => {
                 self.gateways[gateway].kill();
-                self.after(back_after, Later::Start(gateway));
+                self.schedule(back_after, Action::StartGateway(gateway));
             }
             Fault::Terminate { gateway } => self.gateways[gateway].terminate(),
             Fault::Signals { gateway } => {
@@ -226,10 +234,10 @@
                 gateway.terminate();
             }
             Fault::Stop { gateway, lasts } => {
-                // Whoever is told to end is not stopped as well: its time would pass while it can't use it.
-                if matches!(*self.gateways[gateway].phase.lock().expect("phase"), Phase::Serves) {
-                    self.gateways[gateway].stop();
-                    self.after(lasts, Later::Continue(gateway));
+                // A process that shuts down is not paused: its time until SIGKILL would pass unused.
+                if matches!(*self.gateways[gateway].phase.lock().expect("phase"), Phase::Serving) {
+                    self.gateways[gateway].pause();
+                    self.schedule(lasts, Action::ResumeGateway(gateway));
                 }
             }
             Fault::Crowd { gateway, many, lasts } => {
@@ -237,146 +245,153 @@
                 let wait = Duration::from_millis(20);
                 let crowd = (0..many).map_while(|_| TcpStream::connect_timeout(&address, wait).ok());
                 self.crowds.push(crowd.collect());
-                self.after(lasts, Later::Disperse);
+                self.schedule(lasts, Action::DisconnectCrowd);
             }
         }
         Ok(())
     }
 
-    /// Does what is due, and starts anew what has ended after SIGTERM.
-    pub fn look(&mut self) -> io::Result<()> {
+    /// Performs the actions that are due, and restarts gateways that have ended after SIGTERM.
+    pub fn poll(&mut self) -> io::Result<()> {
         let now = Instant::now();
-        let (due, later) = self.later.drain(..).partition(|(at, _)| *at <= now);
-        self.later = later;
-        for (_, what) in due {
-            self.follow(what)?;
+        let (due, pending) = self.scheduled.drain(..).partition(|(at, _)| *at <= now);
+        self.scheduled = pending;
+        for (_, action) in due {
+            self.perform(action)?;
         }
         for number in 0..self.gateways.len() {
-            let waits =
-                self.later.iter().any(|(_, later)| matches!(later, Later::Start(of) if *of == number));
-            if self.gateways[number].look() && !waits {
+            let start_scheduled = self
+                .scheduled
+                .iter()
+                .any(|(_, action)| matches!(action, Action::StartGateway(of) if *of == number));
+            if self.gateways[number].poll() && !start_scheduled {
                 self.gateways[number].start()?;
             }
         }
         Ok(())
     }
 
-    fn follow(&mut self, what: Later) -> io::Result<()> {
-        match what {
-            Later::End(place) => self.end(place),
-            Later::Replace(place) if self.places[place].is_none() => self.replace(place)?,
-            Later::Replace(_) => {}
-            Later::Engine(place) => self.places[place].iter().for_each(|engine| engine.set(Mode::Well)),
-            Later::Names(gateway) => self.names(gateway, &NameFaults::default()),
-            Later::Start(gateway) => self.gateways[gateway].start()?,
-            Later::Continue(gateway) => self.gateways[gateway].go_on(),
-            Later::Disperse => drop(self.crowds.pop()),
+    fn perform(&mut self, action: Action) -> io::Result<()> {
+        match action {
+            Action::EndEngine(slot) => self.end_engine(slot),
+            Action::ReplaceEngine(slot) if self.engine_slots[slot].is_none() => self.start_engine(slot)?,
+            Action::ReplaceEngine(_) => {}
+            Action::RestoreEngine(slot) => {
+                self.engine_slots[slot].iter().for_each(|engine| engine.set_mode(Mode::Well))
+            }
+            Action::RestoreNameService(gateway) => self.set_name_faults(gateway, &NameFaults::default()),
+            Action::StartGateway(gateway) => self.gateways[gateway].start()?,
+            Action::ResumeGateway(gateway) => self.gateways[gateway].resume(),
+            Action::DisconnectCrowd => drop(self.crowds.pop()),
         }
         Ok(())
     }
 
-    /// Serves on for so long.
-    pub fn run(&mut self, lasts: Duration) -> io::Result<()> {
-        let until = Instant::now() + lasts;
+    /// Keeps the fleet running for this long.
+    pub fn run(&mut self, duration: Duration) -> io::Result<()> {
+        let until = Instant::now() + duration;
         while Instant::now() < until {
-            self.look()?;
-            std::thread::sleep(STEP);
+            self.poll()?;
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Plays a plan and lets the fleet heal.
-    pub fn play(&mut self, plan: Plan) -> io::Result<()> {
-        let began = Instant::now();
+    /// Injects the faults of a plan at their times, then lets the fleet recover.
+    pub fn run_plan(&mut self, plan: Plan) -> io::Result<()> {
+        let started_at = Instant::now();
         for (at, fault) in plan {
-            self.run((began + at).saturating_duration_since(Instant::now()))?;
-            self.cause(fault)?;
+            self.run((started_at + at).saturating_duration_since(Instant::now()))?;
+            self.inject(fault)?;
         }
-        self.run(HEALS_WITHIN)
+        self.run(RECOVERY_TIME)
     }
 
-    /// Ends the clients, then the gateways by SIGTERM, and hands over all records.
+    /// Ends the clients, terminates the gateways by SIGTERM, and returns all records.
     pub fn finish(mut self, clients: Vec<Clients>) -> io::Result<Records> {
         let requests = clients.into_iter().flat_map(Clients::finish).collect();
-        self.later.retain(|(_, later)| !matches!(later, Later::Start(_)));
-        self.gateways.iter_mut().for_each(Gateway::go_on);
+        self.scheduled.retain(|(_, action)| !matches!(action, Action::StartGateway(_)));
+        self.gateways.iter_mut().for_each(Gateway::resume);
         self.gateways.iter_mut().for_each(Gateway::terminate);
         loop {
-            let there =
-                self.gateways.iter_mut().filter_map(|gateway| (!gateway.look()).then_some(())).count();
-            if there == 0 {
+            let running =
+                self.gateways.iter_mut().filter_map(|gateway| (!gateway.poll()).then_some(())).count();
+            if running == 0 {
                 break;
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        self.over.store(true, Ordering::Relaxed);
-        let engines = self.places.iter().flatten().chain(&self.left);
+        self.shutdown.store(true, Ordering::Relaxed);
+        let engines = self.engine_slots.iter().flatten().chain(&self.ended_engines);
         let arrivals = engines.flat_map(Engine::arrivals).collect();
         let gateways = self.gateways.iter().map(|gateway| GatewayRecord {
             number: gateway.number,
-            lives: gateway.lives.clone(),
-            told: gateway.told(),
-            name_changes: gateway.name_changes(),
-            stops: gateway.stops.clone(),
+            runs: gateway.runs.clone(),
+            notifications: gateway.notifications(),
+            name_fault_changes: gateway.name_fault_changes(),
+            pauses: gateway.pauses.clone(),
             log: gateway.log(),
         });
         Ok(Records {
             requests,
             arrivals,
             departures: self.discovery.departures(),
-            ends: self.ends.clone(),
+            engine_ends: self.engine_ends.clone(),
             gateways: gateways.collect(),
             second_copies: self.second_copies,
             lateness: self.lateness.lock().expect("lateness").clone(),
-            began: self.began,
+            started_at: self.started_at,
         })
     }
 }
 
-/// One run of a seed.
+/// Runs one seed.
 pub fn run(seed: u64, size: Size, program: &Path) -> io::Result<Report> {
-    let Size { gateways, engines, clients_each, every, faults, late_reads, span } = size;
+    let Size { gateways, engines, clients_each, request_interval, faults, late_reads, duration } = size;
     let mut fleet = Fleet::start(gateways, engines, seed, program)?;
-    let clients = (0..gateways).map(|number| fleet.clients(number, clients_each, every)).collect();
+    let clients = (0..gateways).map(|number| fleet.clients(number, clients_each, request_interval)).collect();
     let crowd = seed.is_multiple_of(3);
-    let plan = faults::draw(Draw { seed, gateways, engines, faults, span, crowd, late_reads });
-    fleet.play(plan.clone())?;
+    let plan =
+        faults::generate(FaultParameters { seed, gateways, engines, faults, duration, crowd, late_reads });
+    fleet.run_plan(plan.clone())?;
     Ok(report(seed, &fleet.finish(clients)?, plan))
 }
 
 fn report(seed: u64, records: &Records, plan: Plan) -> Report {
     let violations = records.judge();
-    let ended = |wanted: End| records.requests.iter().filter(|request| request.end == wanted).count();
+    let count =
+        |wanted: RequestOutcome| records.requests.iter().filter(|request| request.outcome == wanted).count();
     Report {
         seed,
         requests: records.requests.len(),
-        served: ended(End::Served),
-        refused: ended(End::Refused),
+        served: count(RequestOutcome::Served),
+        refused: count(RequestOutcome::Refused),
         attempts: records.arrivals.len(),
-        strangers: records.strangers(),
+        foreign_attempts: records.foreign_attempts(),
         traces: traces(records, &violations),
         violations,
-        worst_lateness: records.lateness.worst(),
+        worst_lateness: records.lateness.max(),
         plan,
     }
 }
 
-/// Requests of runs side by side have different ids.
-fn first_id() -> u64 {
+/// The first request id; concurrent runs use different ids.
+fn first_request_id() -> u64 {
     (u64::from(std::process::id()) << 32) + 1
 }
 
-/// The lines of the gateways' logs that name a request of a violation.
+/// The log lines that contain the id of a request of a violation.
 fn traces(records: &Records, violations: &[Violation]) -> Vec<String> {
-    let ids: Vec<&str> = violations.iter().filter_map(|violation| violation.what.split(' ').next()).collect();
+    let ids: Vec<&str> =
+        violations.iter().filter_map(|violation| violation.description.split(' ').next()).collect();
     let logs = records.gateways.iter().flat_map(|gateway| gateway.log.lines());
-    let names_one = |line: &&str| ids.iter().any(|id| id.len() == ID_LENGTH && line.contains(id));
-    logs.filter(names_one).take(MOST_TRACED).map(str::to_string).collect()
+    let names_request = |line: &&str| ids.iter().any(|id| id.len() == REQUEST_ID_DIGITS && line.contains(id));
+    logs.filter(names_request).take(MAX_TRACE_LINES).map(str::to_string).collect()
 }
 
 impl Report {
-    /// How often each invariant was broken.
-    pub fn broken(&self) -> BTreeMap<judge::Invariant, usize> {
+    /// Number of violations of each invariant.
+    pub fn violations_by_invariant(&self) -> BTreeMap<judge::Invariant, usize> {
         let mut broken = BTreeMap::new();
         self.violations.iter().for_each(|violation| *broken.entry(violation.invariant).or_default() += 1);
         broken
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -77,7 +77,7 @@
 }
 
 /// Of this process's own host, and never given twice: a process that is to listen there finds it free.
-pub(crate) fn own_address() -> SocketAddr {
+pub(crate) fn reserve_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
     SocketAddr::new(nobody().ip(), NEXT.fetch_add(1, Ordering::SeqCst))
 }
@@ -99,12 +99,12 @@
 
 /// What one client call came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum CallOutcome {
     Completed,
     Rejected,
     Aborted,
     /// The connection was refused or broke: its gateway is gone.
-    Nothing,
+    NoAnswer,
 }
 
 #[derive(Default)]
@@ -159,7 +159,7 @@
         for _ in 0..plan.gateways {
             let relays: io::Result<Vec<TcpRelay>> =
                 engines.iter().map(|engine| TcpRelay::start(engine.address)).collect();
-            let (clients, fleet, peer) = (own_address(), own_address(), own_address());
+            let (clients, fleet, peer) = (reserve_address(), reserve_address(), reserve_address());
             gateways.push(Process { child: None, lives: Vec::new(), clients, fleet, peer, engines: relays? });
         }
         let mut links = BTreeMap::new();
@@ -173,7 +173,7 @@
                 links.insert((other, seat), UdpRelay::start(UdpRelay::bind()?, ends, plan.seed)?);
             }
         }
-        let stranger = own_address();
+        let stranger = reserve_address();
         Ok(World {
             plan,
             engines,
@@ -510,16 +510,16 @@
                     let began = Instant::now();
                     let came = call(&mut line, address, ids.fetch_add(1, Ordering::SeqCst), waits);
                     let count = match came {
-                        Came::Completed => &tally.completed,
-                        Came::Rejected => &tally.rejected,
-                        Came::Aborted => &tally.aborted,
-                        Came::Nothing => &tally.nothing,
+                        CallOutcome::Completed => &tally.completed,
+                        CallOutcome::Rejected => &tally.rejected,
+                        CallOutcome::Aborted => &tally.aborted,
+                        CallOutcome::NoAnswer => &tally.nothing,
                     };
-                    if came != Came::Nothing && began.elapsed() > waits + 250 * MS {
+                    if came != CallOutcome::NoAnswer && began.elapsed() > waits + 250 * MS {
                         tally.late.fetch_add(1, Ordering::SeqCst);
                     }
                     count.fetch_add(1, Ordering::SeqCst);
-                    if came == Came::Nothing {
+                    if came == CallOutcome::NoAnswer {
                         line = None;
                         std::thread::sleep(10 * MS);
                     }
@@ -689,7 +689,7 @@
     address: SocketAddr,
     id: u64,
     waits: Duration,
-) -> Came {
+) -> CallOutcome {
     let head = format!(
         "POST /svc/lookup HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {id:016x}\r\nX-Org: acme\r\nX-Deadline-Ms: {}\r\n\
          Content-Length: 8\r\n\r\nSELECT 1",
@@ -698,7 +698,9 @@
     let mut ask = head;
     // A path to come back to is called until there is an answer.
     for _ in 0..20 {
-        let Some((status, body)) = exchange(line, address, &ask, waits * 3) else { return Came::Nothing };
+        let Some((status, body)) = exchange(line, address, &ask, waits * 3) else {
+            return CallOutcome::NoAnswer;
+        };
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         if let Some(link) = body["link"].as_str() {
             ask = format!("GET {link} HTTP/1.1\r\nHost: rig\r\n\r\n");
@@ -706,12 +708,12 @@
         }
         let rejected = matches!(status, 429 | 503) || body["abort"] == "Busy";
         return match (rejected, status == 200 && body["abort"].is_null()) {
-            (true, _) => Came::Rejected,
-            (_, true) => Came::Completed,
-            _ => Came::Aborted,
+            (true, _) => CallOutcome::Rejected,
+            (_, true) => CallOutcome::Completed,
+            _ => CallOutcome::Aborted,
         };
     }
-    Came::Aborted
+    CallOutcome::Aborted
 }
 
 fn exchange(
--- a/crates/rig/tests/ends.rs
+++ b/crates/rig/tests/ends.rs
@@ -21,7 +21,7 @@
 fn a_process_that_owes_an_answer_nobody_comes_for_ends_in_its_time() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(1, 1, 2, program).unwrap();
-    fleet.cause(Fault::Engine { engine: 0, mode: Mode::Slow(400 * MS), lasts: 60_000 * MS }).unwrap();
+    fleet.inject(Fault::Engine { engine: 0, mode: Mode::Slow(400 * MS), lasts: 60_000 * MS }).unwrap();
     // These ask on their open connections until it is gone.
     let clients = vec![fleet.clients(0, 8, 20 * MS)];
     fleet.run(500 * MS).unwrap();
@@ -41,15 +41,15 @@
     let (_, _, body) = read_message(&mut reader).expect("an answer");
     let told: Value = serde_json::from_slice(&body).unwrap();
     assert!(told["link"].is_string(), "{told}");
-    let terminated = fleet.gateways[0].lives[0].terminated.unwrap();
+    let terminated = fleet.gateways[0].runs[0].terminated_at.unwrap();
     fleet.run((terminated + 3610 * MS).saturating_duration_since(Instant::now())).unwrap();
-    fleet.gateways[0].stop();
+    fleet.gateways[0].pause();
     std::thread::sleep(95 * MS);
-    fleet.gateways[0].go_on();
+    fleet.gateways[0].resume();
     fleet.run(KILL_AFTER_TERM - 3200 * MS).unwrap();
     drop((reader, resting));
     let records = fleet.finish(clients).unwrap();
-    let ended = records.gateways[0].lives[0].ended.map(|(at, exit)| (at - terminated, exit));
+    let ended = records.gateways[0].runs[0].ended.map(|(at, exit)| (at - terminated, exit));
     println!("{ended:?}");
     assert!(matches!(ended, Some((_, Exit::Terminated(Some(0))))), "{ended:?}");
 }
@@ -64,12 +64,12 @@
         fleet.gateways[0].terminate();
         fleet.run(MS * wait).unwrap();
         for engine in 0..2 {
-            fleet.cause(Fault::Engine { engine, mode: Mode::Stopped, lasts: 60_000 * MS }).unwrap();
+            fleet.inject(Fault::Engine { engine, mode: Mode::Stopped, lasts: 60_000 * MS }).unwrap();
         }
         fleet.run(KILL_AFTER_TERM + 100 * MS).unwrap();
         let records = fleet.finish(clients).unwrap();
-        let life = &records.gateways[0].lives[0];
-        let ended = life.ended.map(|(at, exit)| (at - life.terminated.unwrap(), exit));
+        let life = &records.gateways[0].runs[0];
+        let ended = life.ended.map(|(at, exit)| (at - life.terminated_at.unwrap(), exit));
         println!("{wait}: {ended:?}");
         assert!(
             matches!(ended, Some((_, Exit::Terminated(Some(0))))),
--- a/crates/rig/tests/late_reads.rs
+++ b/crates/rig/tests/late_reads.rs
@@ -25,8 +25,8 @@
     let mut fleet = Fleet::start(1, 2, FORBIDS_COPIES, program).unwrap();
     let clients = vec![fleet.clients(0, 12, 30 * MS)];
     fleet.run(500 * MS).unwrap();
-    fleet.cause(Fault::Engine { engine: 1, mode: Mode::Slow(900 * MS), lasts: 60_000 * MS }).unwrap();
-    fleet.cause(Fault::Engine { engine: 0, mode, lasts }).unwrap();
+    fleet.inject(Fault::Engine { engine: 1, mode: Mode::Slow(900 * MS), lasts: 60_000 * MS }).unwrap();
+    fleet.inject(Fault::Engine { engine: 0, mode, lasts }).unwrap();
     fleet.run(lasts + 1500 * MS).unwrap();
     let records = fleet.finish(clients).unwrap();
     assert!(records.arrivals.len() > 50, "statements reach engines: {}", records.arrivals.len());
--- a/crates/rig/tests/pauses.rs
+++ b/crates/rig/tests/pauses.rs
@@ -31,7 +31,7 @@
 fn a_client_that_came_back_during_a_pause_gets_its_answer() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(1, 1, 2, program).unwrap();
-    fleet.cause(Fault::Engine { engine: 0, mode: Mode::Slow(2800 * MS), lasts: 60_000 * MS }).unwrap();
+    fleet.inject(Fault::Engine { engine: 0, mode: Mode::Slow(2800 * MS), lasts: 60_000 * MS }).unwrap();
     let address = fleet.gateways[0].address;
     let text = "SELECT note FROM sales_1.orders";
     let call = format!(
@@ -45,12 +45,12 @@
     drop(first);
     // Engines end what nobody asks for in 2 s: the pause alone is shorter.
     fleet.run(900 * MS).unwrap();
-    fleet.gateways.iter_mut().for_each(Gateway::stop);
+    fleet.gateways.iter_mut().for_each(Gateway::pause);
     fleet.run(100 * MS).unwrap();
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n");
     let mut again = asked(address, &get(&path));
     fleet.run(1250 * MS).unwrap();
-    fleet.gateways.iter_mut().for_each(Gateway::go_on);
+    fleet.gateways.iter_mut().for_each(Gateway::resume);
     let last = loop {
         let (status, told) = answer(&mut again);
         match told["link"].as_str() {
@@ -68,14 +68,14 @@
     let mut fleet = Fleet::start(1, 2, 2, program).unwrap();
     let clients = vec![fleet.clients(0, 8, 20 * MS)];
     fleet.run(500 * MS).unwrap();
-    fleet.gateways[0].stop();
+    fleet.gateways[0].pause();
     fleet.run(100 * MS).unwrap();
     fleet.gateways[0].terminate();
     fleet.run(1500 * MS).unwrap();
-    fleet.gateways[0].go_on();
+    fleet.gateways[0].resume();
     fleet.run(3000 * MS).unwrap();
     let records = fleet.finish(clients).unwrap();
-    let first = records.gateways[0].lives[0].ended.map(|(_, exit)| exit);
+    let first = records.gateways[0].runs[0].ended.map(|(_, exit)| exit);
     assert_eq!(first, Some(Exit::Terminated(Some(0))));
     let found: Vec<String> = records.judge().iter().map(ToString::to_string).collect();
     assert!(found.is_empty(), "{found:#?}");
@@ -90,9 +90,9 @@
     fleet.run(1000 * MS).unwrap();
     for _ in 0..4 {
         for _ in 0..2 {
-            fleet.gateways[0].stop();
+            fleet.gateways[0].pause();
             fleet.run(400 * MS).unwrap();
-            fleet.gateways[0].go_on();
+            fleet.gateways[0].resume();
             // Long enough to go on, too short to read all that came.
             fleet.run(4 * MS).unwrap();
         }
@@ -121,11 +121,11 @@
     for round in 0..24u32 {
         if round % 6 == 2 {
             let engine = (round / 6) as usize;
-            fleet.cause(Fault::Drain { engine, ends_after: 2000 * MS }).unwrap();
+            fleet.inject(Fault::Drain { engine, ends_after: 2000 * MS }).unwrap();
         }
-        fleet.gateways[0].stop();
+        fleet.gateways[0].pause();
         fleet.run((100 + round % 5 * 40) * MS).unwrap();
-        fleet.gateways[0].go_on();
+        fleet.gateways[0].resume();
         fleet.run((2 + round % 7 * 12) * MS).unwrap();
     }
     fleet.run(800 * MS).unwrap();
--- a/crates/rig/tests/scale_decide.rs
+++ b/crates/rig/tests/scale_decide.rs
@@ -1,11 +1,11 @@
 //! What one gateway's decisions cost by size, in counts alone: they are the same on every machine for one seed.
 
-use bramblewharf_rig::counted::{during, is_counting, Counting};
+use bramblewharf_rig::allocations::{count_during, is_counting, CountingAllocator};
 use bramblewharf_rig::scale::decide::{count, events, sizes, Args, Counted, Size};
 use std::process::Command;
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const SEED: u64 = 1;
 const STATEMENTS: usize = 400;
@@ -70,12 +70,12 @@
 #[test]
 fn only_what_is_asked_for_is_counted() {
     assert!(is_counting());
-    let (kept, allocated) = during(|| vec![0u8; 1000]);
-    assert_eq!((allocated.calls, allocated.bytes, allocated.kept), (1, 1000, 1000));
-    let (_, freed) = during(|| drop(kept));
-    assert_eq!((freed.calls, freed.bytes, freed.kept), (0, 0, -1000));
+    let (kept, allocated) = count_during(|| vec![0u8; 1000]);
+    assert_eq!((allocated.calls, allocated.bytes, allocated.retained), (1, 1000, 1000));
+    let (_, freed) = count_during(|| drop(kept));
+    assert_eq!((freed.calls, freed.bytes, freed.retained), (0, 0, -1000));
     let other = || std::thread::spawn(|| vec![0u8; 100_000]).join();
-    let (_, allocated) = during(other);
+    let (_, allocated) = count_during(other);
     assert!(allocated.bytes < 100_000, "another thread's were counted: {allocated:?}");
 }
 
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -9,10 +9,10 @@
     gateways: 10,
     engines: 5,
     clients_each: 3,
-    every: Duration::from_millis(120),
+    request_interval: Duration::from_millis(120),
     faults: 16,
     late_reads: 0,
-    span: Duration::from_secs(6),
+    duration: Duration::from_secs(6),
 };
 
 /// Seeds that are multiples of three have a crowd, odd ones forbid second copies.
--- a/crates/rig/tests/stale_list.rs
+++ b/crates/rig/tests/stale_list.rs
@@ -36,10 +36,10 @@
 #[test]
 fn a_drain_that_falls_into_a_silence_of_the_name_service_is_kept() {
     let found = under(|fleet| {
-        fleet.names(None, &silent());
-        fleet.drain(0);
+        fleet.set_name_faults(None, &silent());
+        fleet.drain_engine(0);
         fleet.run(3200 * MS).unwrap();
-        fleet.names(None, &NameFaults::default());
+        fleet.set_name_faults(None, &NameFaults::default());
     });
     assert!(found.is_empty(), "{} of drains: {found:#?}", of_drains(&found).len());
 }
@@ -48,14 +48,14 @@
 fn a_drain_that_falls_into_a_pause_of_the_process_is_kept() {
     let found = under(|fleet| {
         // An answer takes its time: the first one after the pause is not there before statements are.
-        fleet.names(None, &NameFaults { late: 100 * MS, ..NameFaults::default() });
+        fleet.set_name_faults(None, &NameFaults { late: 100 * MS, ..NameFaults::default() });
         fleet.run(500 * MS).unwrap();
         // Shorter than the time by which a drain counts as told, and longer.
         for (place, pause) in [(0, 700 * MS), (1, 2100 * MS)] {
-            fleet.gateways.iter_mut().for_each(Gateway::stop);
-            fleet.drain(place);
+            fleet.gateways.iter_mut().for_each(Gateway::pause);
+            fleet.drain_engine(place);
             fleet.run(pause).unwrap();
-            fleet.gateways.iter_mut().for_each(Gateway::go_on);
+            fleet.gateways.iter_mut().for_each(Gateway::resume);
             fleet.run(600 * MS).unwrap();
         }
     });
@@ -65,8 +65,8 @@
 #[test]
 fn a_drain_told_on_a_path_that_has_died_is_kept() {
     let found = under(|fleet| {
-        fleet.names(None, &NameFaults { dead_flows: true, ..NameFaults::default() });
-        fleet.drain(0);
+        fleet.set_name_faults(None, &NameFaults { dead_flows: true, ..NameFaults::default() });
+        fleet.drain_engine(0);
         fleet.run(2000 * MS).unwrap();
     });
     assert!(of_drains(&found).is_empty(), "{:#?}", of_drains(&found));
@@ -76,9 +76,9 @@
 fn a_drain_told_under_an_earlier_number_is_kept() {
     let found = under(|fleet| {
         // The service was restarted and counts anew.
-        fleet.names(None, &NameFaults { numbers_back: 3, ..NameFaults::default() });
+        fleet.set_name_faults(None, &NameFaults { numbers_back: 3, ..NameFaults::default() });
         fleet.run(300 * MS).unwrap();
-        fleet.drain(0);
+        fleet.drain_engine(0);
         fleet.run(3000 * MS).unwrap();
     });
     assert!(of_drains(&found).is_empty(), "{:#?}", of_drains(&found));
