--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -45,14 +45,14 @@
             }
             Input::Left(id) => slog::debug!(self.log, "client left"; "id" => &**id),
             Input::Absent(id, absent) => {
-                slog::debug!(self.log, "client between calls"; "id" => &**id, "absent" => absent);
+                slog::debug!(self.log, "client started or stopped polling"; "id" => &**id, "absent" => absent);
             }
             Input::Ended { id, execution, ending } => self.ended(id, *execution, ending),
             Input::Arrived { id, execution } => {
                 slog::debug!(self.log, "attempt arrived"; "id" => &**id, "execution" => execution);
             }
             Input::Stopped { id, execution, after } => {
-                slog::debug!(self.log, "attempt given up, engine told"; "id" => &**id, "execution" => execution,
+                slog::debug!(self.log, "attempt given up, engine notified"; "id" => &**id, "execution" => execution,
                     "after" => ?after);
             }
             _ => {}
