--- a/crates/gateway/tests/bodies.rs
+++ b/crates/gateway/tests/bodies.rs
@@ -48,7 +48,7 @@
 fn head(workload: &str, id: u64, fields: &str) -> String {
     format!(
         "POST /svc/{workload} HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 20000\r\n\
-         X-Org: acme\r\n{KEY}{fields}\r\n"
+         X-Org: acme\r\n{KEY_HEADER}{fields}\r\n"
     )
 }
 
@@ -68,20 +68,20 @@
 }
 
 /// Sends beside what else the test does, and comes back until there is a final answer.
-fn send(served: &Served, call: Vec<u8>) -> JoinHandle<Answered> {
+fn send(served: &TestGateway, call: Vec<u8>) -> JoinHandle<Response> {
     let stream = served.connect();
     std::thread::spawn(move || {
         let mut write = stream.try_clone().unwrap();
         let sender = std::thread::spawn(move || {
             let _ = write.write_all(&call);
         });
-        let answered = Answered::last(&mut BufReader::new(stream));
+        let answered = Response::read_final(&mut BufReader::new(stream));
         sender.join().unwrap();
         answered
     })
 }
 
-fn is_unkept(answered: &Answered) -> bool {
+fn is_unkept(answered: &Response) -> bool {
     answered.headers.get("x-body").map(String::as_str) == Some("not-kept")
 }
 
@@ -196,8 +196,11 @@
             row["deadlineUs"] = json!(20_000_000);
         }
     }
-    let served =
-        Served::with(&configuration, operators(2048, memory, files, ""), Some(Arc::new(disk.clone())));
+    let served = TestGateway::start_with(
+        &configuration,
+        operators(2048, memory, files, ""),
+        Some(Arc::new(disk.clone())),
+    );
     // The walk begins one past the first engine: that one fails.
     let text = text(600 * KB);
     if goes == Goes::SpoolReadFails {
@@ -232,7 +235,9 @@
     let wrong = check(&asked, &calls, shed);
     assert!(wrong.is_empty(), "{case}: {wrong:?}");
     drop(calls);
-    served.wait_bodies(&case, |counts| counts.bodies == 0 && counts.in_memory == 0 && counts.files == 0);
+    served.wait_for_body_counts(&case, |counts| {
+        counts.bodies == 0 && counts.in_memory == 0 && counts.files == 0
+    });
 }
 
 #[test]
@@ -242,7 +247,7 @@
             let well = Engine::well();
             let memory = if kept == Kept::Memory { (1024, 4096) } else { (100, 256) };
             let files = matches!(kept, Kept::File | Kept::Growing).then_some((4096, 8192));
-            let served = Served::with(
+            let served = TestGateway::start_with(
                 &configuration(&[well.address]),
                 operators(2048, memory, files, ""),
                 Some(Arc::new(FaultyDisk::default())),
@@ -252,13 +257,14 @@
                 if kept == Kept::Growing { chunked(workload, 1, &text) } else { whole(workload, 1, &text) };
             let mut stream = served.connect();
             stream.write_all(&call[..400 * KB]).unwrap();
-            served.wait_bodies("it comes", |counts| counts.bodies == 1);
+            served.wait_for_body_counts("it comes", |counts| counts.bodies == 1);
             if kept == Kept::Passing {
                 // The engine has begun to read it: only the end of the connection tells it that the rest never comes.
-                served.wait_bodies("it passes", |counts| counts.taken_not_kept == 1);
+                served.wait_for_body_counts("it passes", |counts| counts.taken_not_kept == 1);
             }
             drop(stream);
-            served.wait_bodies("all is let go", |counts| counts.bodies == 0 && counts.in_memory == 0);
+            served
+                .wait_for_body_counts("all is let go", |counts| counts.bodies == 0 && counts.in_memory == 0);
             assert!(well.posted().iter().all(|call| !call.whole), "{kept:?}");
             // It is no word against the engine.
             assert_eq!(served.ask(&call_small(2)).status, 200);
@@ -267,7 +273,7 @@
 }
 
 fn call_small(id: u64) -> String {
-    call("read", id, 20_000, KEY)
+    call("read", id, 20_000, KEY_HEADER)
 }
 
 /// 16 MB through a gateway of 32 MB, its first engine reset in mid-statement; then endless, announced as 3 GB, and stuck at 99%.
@@ -284,8 +290,11 @@
     configuration["limits"]["memory_mb"] = json!(32);
     let disk = FaultyDisk::default();
     let files = Some((32 * KB, 64 * KB));
-    let served =
-        Served::with(&configuration, operators(20 * KB, (512, 2048), files, ""), Some(Arc::new(disk)));
+    let served = TestGateway::start_with(
+        &configuration,
+        operators(20 * KB, (512, 2048), files, ""),
+        Some(Arc::new(disk)),
+    );
     let text = text(16 * KB * KB);
     assert_eq!(send(&served, whole("load", 1, &text)).join().unwrap().status, 200);
     assert!(well.posted()[0].body == text && ill.posted()[0].body == text);
@@ -304,23 +313,24 @@
         let chunk = [b"8000\r\n".as_slice(), &[b'x'; 0x8000], b"\r\n"].concat();
         (0..2000).take_while(|_| stream.write_all(&chunk).is_ok()).count()
     });
-    assert_eq!(Answered::read(&mut read).status, 413);
+    assert_eq!(Response::read(&mut read).status, 413);
     drop(read);
     assert!(endless.join().unwrap() < 2000);
     // All but the last of it, and then nothing: its place is taken back by the time that the settings give it.
     let mut stream = served.connect();
     let call = whole("load", 4, &text[..200 * KB]);
     stream.write_all(&call[..call.len() * 99 / 100]).unwrap();
-    assert_eq!(Answered::read(&mut BufReader::new(stream)).status, 408);
-    served
-        .wait_bodies("all is let go", |counts| counts.bodies == 0 && counts.in_memory + counts.in_files == 0);
-    assert!(served.bodies().refused >= 1);
+    assert_eq!(Response::read(&mut BufReader::new(stream)).status, 408);
+    served.wait_for_body_counts("all is let go", |counts| {
+        counts.bodies == 0 && counts.in_memory + counts.in_files == 0
+    });
+    assert!(served.body_counts().refused >= 1);
 }
 
 #[test]
 fn who_asks_first_is_told_to_go_on_once_there_is_room() {
     let well = Engine::well();
-    let served = Served::with(
+    let served = TestGateway::start_with(
         &configuration(&[well.address]),
         operators(2048, (512, 512), None, "not_kept = \"reject\"\n"),
         None,
@@ -336,7 +346,7 @@
     };
     let (mut stream, told) = ask(1);
     assert_eq!(told, "HTTP/1.1 100");
-    served.wait_bodies("it has its place", |counts| counts.bodies == 1);
+    served.wait_for_body_counts("it has its place", |counts| counts.bodies == 1);
     let (_, full) = ask(2);
     assert_eq!(full, "HTTP/1.1 503", "no room for a second one");
     stream.write_all(&text).unwrap();
@@ -345,7 +355,7 @@
     for _ in 0..2 {
         std::io::BufRead::read_line(&mut read, &mut String::new()).unwrap();
     }
-    assert_eq!(Answered::last(&mut read).status, 200);
+    assert_eq!(Response::read_final(&mut read).status, 200);
     assert!(well.posted()[0].body == text);
 }
 
@@ -357,7 +367,7 @@
         let files = (kept == Kept::File).then_some((4096, 8192));
         let start = |engines: &[SocketAddr]| {
             let operators = operators(2048, (100, 512), files, "");
-            Served::with(&patient(engines), operators, Some(Arc::new(FaultyDisk::default())))
+            TestGateway::start_with(&patient(engines), operators, Some(Arc::new(FaultyDisk::default())))
         };
         // Completed though it read only the beginning: what the engine says stands.
         let early = Engine::taking(
@@ -393,7 +403,7 @@
         Engine::start(|call| if call.method == "POST" { Reply::Reset } else { answer(500, "", b"") });
     let mut configuration = configuration(&[slow.local_addr().unwrap(), resets.address]);
     configuration["settings"]["profiles"][2]["memorySpanUs"] = json!(1_000_000);
-    let served = Served::with(&configuration, operators(2048, (1024, 4096), None, ""), None);
+    let served = TestGateway::start_with(&configuration, operators(2048, (1024, 4096), None, ""), None);
     let text = text(100 * KB);
     let call = String::from_utf8(whole("load", 1, &text))
         .unwrap()
@@ -415,12 +425,12 @@
     let (well, drained) = (Engine::well(), Engine::well());
     let mut at_first = configuration(&[well.address, drained.address]);
     let operators = operators(2048, (1024, 4096), None, "");
-    let served = Served::with(&at_first, operators.clone(), None);
+    let served = TestGateway::start_with(&at_first, operators.clone(), None);
     let text = text(600 * KB);
     let call = whole("once", 1, &text);
     let mut stream = served.connect();
     stream.write_all(&call[..call.len() / 2]).unwrap();
-    served.wait_bodies("half has come", |counts| counts.bodies == 1);
+    served.wait_for_body_counts("half has come", |counts| counts.bodies == 1);
     // The same list without the second one.
     at_first["known"] = configuration(&[well.address])["known"].clone();
     at_first["known"]["no"] = json!(2);
@@ -436,7 +446,7 @@
     }
     let before = drained.posts();
     stream.write_all(&call[call.len() / 2..]).unwrap();
-    assert_eq!(Answered::last(&mut BufReader::new(stream)).status, 200);
+    assert_eq!(Response::read_final(&mut BufReader::new(stream)).status, 200);
     assert_eq!(drained.posts(), before);
     assert!(well.posted().iter().any(|post| post.body == text));
 }
@@ -475,7 +485,7 @@
     let configuration = patient(&[engine.address]);
     let disk = FaultyDisk::default();
     let more = "workload \"once\" {\n not_kept = \"reject\"\n }\n";
-    let served = Served::with(
+    let served = TestGateway::start_with(
         &configuration,
         operators(2048, (100, 1024), Some((2048, 40_000)), more),
         Some(Arc::new(disk.clone())),
@@ -483,7 +493,7 @@
     let text = text(300 * KB);
     let held: Vec<_> =
         (0..20).map(|id| send(&served, whole("load", 1000 + id, &text_of(id, 300 * KB)))).collect();
-    served.wait_bodies("all are in files", |counts| {
+    served.wait_for_body_counts("all are in files", |counts| {
         counts.files == 20 && counts.in_files == 20 * 300 * KB as u64
     });
     while engine.posts() < 20 {
@@ -500,7 +510,7 @@
     disk.0.room.store(-1, SeqCst);
     disk.hold(true);
     let stuck = send(&served, whole("read", 3, &text));
-    served.wait_bodies("it waits for the disk", |counts| counts.files == 21);
+    served.wait_for_body_counts("it waits for the disk", |counts| counts.files == 21);
     for id in 10..60 {
         assert_eq!(served.ask(&call_small(id)).status, 200);
     }
@@ -511,7 +521,7 @@
     for held in held {
         assert_eq!(held.join().unwrap().status, 200);
     }
-    let counts = served.wait_bodies("all is let go", |counts| counts.bodies == 0);
+    let counts = served.wait_for_body_counts("all is let go", |counts| counts.bodies == 0);
     assert_eq!((counts.spool_failed, counts.fell, counts.read_failed), (2, 1, 0));
 }
 
@@ -524,7 +534,7 @@
     configuration["limits"] = json!({"cores": 1.0, "memory_mb": 32, "sockets": 600});
     configuration["settings"]["domain"]["sizeCores"] = json!([1000]);
     let operators = operators(2048, (512, 4096), Some((2048, 30 * 1024)), "");
-    let served = Served::with(&configuration, operators, Some(Arc::new(FaultyDisk::default())));
+    let served = TestGateway::start_with(&configuration, operators, Some(Arc::new(FaultyDisk::default())));
     let over = Arc::new(AtomicBool::new(false));
     let loads: Vec<_> =
         (0..200).map(|id| send(&served, whole("load", 5000 + id, &text_of(id, KB * KB)))).collect();
@@ -536,7 +546,7 @@
     });
     let (mut most, mut lookups) = ((0, 0, 0), 0);
     while !over.load(SeqCst) {
-        let counts = served.bodies();
+        let counts = served.body_counts();
         most = (most.0.max(counts.in_memory), most.1.max(counts.in_files), most.2.max(counts.files));
         assert_eq!(served.ask(&call_small(lookups)).status, 200);
         lookups += 1;
@@ -550,7 +560,7 @@
         let id = u64::from_str_radix(&post.headers["x-ticket"], 16).unwrap();
         assert!(!post.whole || post.body == text_of(id - 5000, KB * KB));
     }
-    served.wait_bodies("all is let go", |counts| counts.bodies == 0 && counts.in_memory == 0);
+    served.wait_for_body_counts("all is let go", |counts| counts.bodies == 0 && counts.in_memory == 0);
 }
 
 /// Smaller pools at a reload, then SIGTERM's way out with a statement in each tier: each has its answer.
@@ -565,11 +575,13 @@
     let configuration = patient(&[engine.address]);
     let disk = Arc::new(FaultyDisk::default());
     let at_first = operators(4096, (512, 1024), Some((1024, 2048)), "");
-    let mut served = Served::with(&configuration, at_first, Some(disk));
+    let mut served = TestGateway::start_with(&configuration, at_first, Some(disk));
     let sizes = [400 * KB, 800 * KB, 1500 * KB];
     let asked: Vec<_> =
         (0..3).map(|n| send(&served, whole("load", n as u64, &text_of(n as u64, sizes[n])))).collect();
-    served.wait_bodies("one in each tier", |c| (c.taken_memory, c.taken_file, c.taken_not_kept) == (1, 1, 1));
+    served.wait_for_body_counts("one in each tier", |c| {
+        (c.taken_memory, c.taken_file, c.taken_not_kept) == (1, 1, 1)
+    });
     while engine.posts() < 3 {
         std::thread::yield_now();
     }
@@ -579,7 +591,7 @@
     let probe = String::from_utf8(whole("load", 9, &text(200 * KB))).unwrap();
     let probe = probe.replace("X-Deadline-Ms: 20000", "X-Deadline-Ms: 50").into_bytes();
     while send(&served, probe.clone()).join().unwrap().status != 413 {}
-    assert_eq!(served.bodies().bodies, 3);
+    assert_eq!(served.body_counts().bodies, 3);
     let ended = served.shut_down();
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
@@ -600,16 +612,16 @@
     });
     let mut configuration = patient(&[engine.address]);
     configuration["settings"]["allowed"]["maxOpen"] = json!(1);
-    let served = Served::with(&configuration, operators(2048, (1024, 4096), None, ""), None);
+    let served = TestGateway::start_with(&configuration, operators(2048, (1024, 4096), None, ""), None);
     let text = text(400 * KB);
     let held = send(&served, whole("once", 1, &text));
     engine.wait(|call| call.method == "POST");
     let call = whole("once", 2, &text);
     let mut stream = served.connect();
     stream.write_all(&call[..100 * KB]).unwrap();
-    let answered = Answered::read(&mut BufReader::new(stream));
+    let answered = Response::read(&mut BufReader::new(stream));
     assert_eq!((answered.status, answered.headers["x-pushback-ms"].as_str()), (503, "2000"));
-    assert_eq!(served.bodies().bodies, 1);
+    assert_eq!(served.body_counts().bodies, 1);
     *gate.0.lock().unwrap() = true;
     gate.1.notify_all();
     assert_eq!(held.join().unwrap().status, 200);
@@ -621,8 +633,11 @@
     let engine = Engine::well();
     for files in [Some((4096, 8192)), None] {
         let operators = operators(2048, (100, 512), files, "");
-        let served =
-            Served::with(&configuration(&[engine.address]), operators, Some(Arc::new(FaultyDisk::default())));
+        let served = TestGateway::start_with(
+            &configuration(&[engine.address]),
+            operators,
+            Some(Arc::new(FaultyDisk::default())),
+        );
         for (at, byte) in [(10, 0), (300_000, 0), (300_000, 0xff), (599_999, 0xc3)] {
             let mut text = text(600_000);
             text[at] = byte;
@@ -631,7 +646,7 @@
         }
         let blank = vec![b' '; 200_000];
         assert_eq!(send(&served, whole("once", 7, &blank)).join().unwrap().status, 400);
-        served.wait_bodies("all is let go", |counts| counts.bodies == 0);
+        served.wait_for_body_counts("all is let go", |counts| counts.bodies == 0);
     }
     assert!(engine.posted().iter().all(|post| !post.whole));
 }
@@ -703,7 +718,8 @@
     let engine = Engine::well();
     let disk = FaultyDisk::default();
     let operators = operators(2048, (512, 1024), Some((2048, 8192)), "");
-    let served = Served::with(&configuration(&[engine.address]), operators, Some(Arc::new(disk.clone())));
+    let served =
+        TestGateway::start_with(&configuration(&[engine.address]), operators, Some(Arc::new(disk.clone())));
     for (id, size) in [(1, 100), (2, 64 * KB - 1), (3, 64 * KB)] {
         let text = text(size);
         for call in [whole("once", id, &text), chunked("once", id + 10, &text)] {
@@ -711,11 +727,11 @@
         }
         assert!(engine.posted().iter().rev().take(2).all(|post| post.body == text));
     }
-    let counts = served.bodies();
+    let counts = served.body_counts();
     assert_eq!((counts.taken_memory, counts.taken_file, counts.taken_not_kept), (0, 0, 0));
     assert_eq!(disk.0.made.load(SeqCst), 0);
     // Without settings nothing beyond them is taken, as before.
-    let plain = Served::before(&[engine.address]);
+    let plain = TestGateway::in_front_of(&[engine.address]);
     assert_eq!(send(&plain, whole("once", 30, &text(64 * KB + 1))).join().unwrap().status, 413);
     drop(TcpStream::connect(plain.address));
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway that serves in a thread of its own, and clients that ask it.
+//! A gateway that runs in a thread of its own, and clients that send calls to it.
 #![allow(dead_code)]
 
 pub mod names;
@@ -16,6 +16,7 @@
 use std::sync::{mpsc, Arc};
 use std::thread::JoinHandle;
 
+/// A gateway configuration with these engines on its list.
 pub fn configuration(engines: &[SocketAddr]) -> Value {
     let members: Vec<Value> = engines
         .iter()
@@ -42,7 +43,8 @@
             "rules": {"coldUs": 1000, "tipAfterUs": 1000}}})
 }
 
-pub struct Served {
+/// A running gateway, and the channels to its thread.
+pub struct TestGateway {
     pub address: SocketAddr,
     pub reloads: tokio::sync::mpsc::UnboundedSender<(Value, Operators)>,
     pub counts: tokio::sync::mpsc::UnboundedSender<mpsc::Sender<Counts>>,
@@ -50,27 +52,33 @@
     pub thread: Option<JoinHandle<()>>,
 }
 
-impl Served {
-    pub fn by(configuration: &Value) -> Served {
-        Served::with(configuration, Operators::default(), None)
+impl TestGateway {
+    /// Starts a gateway without operator settings.
+    pub fn start(configuration: &Value) -> TestGateway {
+        TestGateway::start_with(configuration, Operators::default(), None)
     }
 
-    pub fn with(configuration: &Value, operators: Operators, disk: Option<Arc<dyn Disk>>) -> Served {
+    /// Starts a gateway with operator settings and, where given, a disk for body files.
+    pub fn start_with(
+        configuration: &Value,
+        operators: Operators,
+        disk: Option<Arc<dyn Disk>>,
+    ) -> TestGateway {
         let configuration = configuration.clone();
-        let (told, address) = mpsc::channel();
+        let (address_sender, address) = mpsc::channel();
         let (stop, mut stopped) = tokio::sync::oneshot::channel::<()>();
         let (reloads, mut reloaded) = tokio::sync::mpsc::unbounded_channel::<(Value, Operators)>();
-        let (counts, mut asked) = tokio::sync::mpsc::unbounded_channel::<mpsc::Sender<Counts>>();
+        let (counts, mut count_requests) = tokio::sync::mpsc::unbounded_channel::<mpsc::Sender<Counts>>();
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(async {
                 let start = config::read_with(&configuration, None, None, operators).unwrap();
                 let log = slog::Logger::root(slog::Discard, slog::o!());
                 let gateway = Gateway::start_with_disk(start, log, disk).await.unwrap();
-                told.send(gateway.address()).unwrap();
+                address_sender.send(gateway.address()).unwrap();
                 loop {
                     tokio::select! {
                         _ = &mut stopped => break,
-                        Some(told) = asked.recv() => drop(told.send(gateway.body_counts())),
+                        Some(reply) = count_requests.recv() => drop(reply.send(gateway.body_counts())),
                         Some((newer, operators)) = reloaded.recv() => {
                             gateway.reload(config::read_with(&newer, None, None, operators).unwrap());
                         }
@@ -80,26 +88,27 @@
             });
         });
         let address = address.recv().unwrap();
-        Served { address, reloads, counts, stop: Some(stop), thread: Some(thread) }
+        TestGateway { address, reloads, counts, stop: Some(stop), thread: Some(thread) }
     }
 
+    /// Reloads the gateway with another configuration.
     pub fn reload(&self, configuration: Value) -> Result<(), ()> {
         self.reloads.send((configuration, Operators::default())).map_err(drop)
     }
 
-    /// What is held of texts beyond the ordinary size.
-    pub fn bodies(&self) -> Counts {
-        let (told, counts) = mpsc::channel();
-        self.counts.send(told).unwrap();
+    /// Counters of bodies beyond the ordinary size.
+    pub fn body_counts(&self) -> Counts {
+        let (reply, counts) = mpsc::channel();
+        self.counts.send(reply).unwrap();
         counts.recv_timeout(LONG).unwrap()
     }
 
-    /// Waits until that holds of it.
-    pub fn wait_bodies(&self, what: &str, holds: impl Fn(&Counts) -> bool) -> Counts {
+    /// Waits until the condition holds for the counters.
+    pub fn wait_for_body_counts(&self, what: &str, condition: impl Fn(&Counts) -> bool) -> Counts {
         let began = std::time::Instant::now();
         loop {
-            let counts = self.bodies();
-            if holds(&counts) {
+            let counts = self.body_counts();
+            if condition(&counts) {
                 return counts;
             }
             assert!(began.elapsed() < LONG, "{what}: {counts:?}");
@@ -107,16 +116,18 @@
         }
     }
 
-    /// Ends it as SIGTERM does.
+    /// Shuts down as SIGTERM does.
     pub fn shut_down(&mut self) -> JoinHandle<()> {
         self.stop.take().unwrap().send(()).unwrap();
         self.thread.take().unwrap()
     }
 
-    pub fn before(engines: &[SocketAddr]) -> Served {
-        Served::by(&configuration(engines))
+    /// Starts a gateway with these engines and without operator settings.
+    pub fn in_front_of(engines: &[SocketAddr]) -> TestGateway {
+        TestGateway::start(&configuration(engines))
     }
 
+    /// A new client connection.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
@@ -124,56 +135,63 @@
         stream
     }
 
-    pub fn ask(&self, call: &str) -> Answered {
+    /// Sends a call on a new connection and waits for its final response.
+    pub fn ask(&self, call: &str) -> Response {
         let mut stream = self.connect();
         stream.write_all(call.as_bytes()).unwrap();
-        Answered::last(&mut BufReader::new(stream))
+        Response::read_final(&mut BufReader::new(stream))
     }
 
-    /// Asks beside what else the test does.
-    pub fn ask_aside(&self, call: String) -> JoinHandle<Answered> {
-        ask_aside(self.connect(), call)
+    /// Sends a call while the test continues; the thread returns its final response.
+    pub fn ask_in_background(&self, call: String) -> JoinHandle<Response> {
+        ask_in_background(self.connect(), call)
     }
 
-    pub fn get(&self, method: &str, path: &str) -> Answered {
+    /// Sends a call without a body and returns its first response.
+    pub fn get(&self, method: &str, path: &str) -> Response {
         let mut stream = self.connect();
         stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).unwrap();
-        Answered::read(&mut BufReader::new(stream))
+        Response::read(&mut BufReader::new(stream))
     }
 }
 
-pub fn ask_aside(mut stream: TcpStream, call: String) -> JoinHandle<Answered> {
+/// Sends a call on this connection; the thread returns its final response.
+pub fn ask_in_background(mut stream: TcpStream, call: String) -> JoinHandle<Response> {
     stream.set_read_timeout(Some(LONG)).unwrap();
     stream.write_all(call.as_bytes()).unwrap();
-    std::thread::spawn(move || Answered::last(&mut BufReader::new(stream)))
+    std::thread::spawn(move || Response::read_final(&mut BufReader::new(stream)))
 }
 
-pub struct Answered {
+/// A response of the gateway.
+pub struct Response {
     pub status: u16,
     pub headers: HashMap<String, String>,
     pub body: Value,
 }
 
-impl Answered {
-    pub fn read(from: &mut impl BufRead) -> Answered {
+impl Response {
+    /// Reads the next response.
+    pub fn read(from: &mut impl BufRead) -> Response {
         let (first, headers, body) = read_message(from).expect("an answer");
         let status = first.split(' ').nth(1).unwrap().parse().unwrap();
-        Answered { status, headers, body: serde_json::from_slice(&body).unwrap_or(Value::Null) }
+        Response { status, headers, body: serde_json::from_slice(&body).unwrap_or(Value::Null) }
     }
 
-    /// Comes back on the same connection for as long as it is told to.
-    pub fn last(from: &mut BufReader<TcpStream>) -> Answered {
+    /// Reads the final response, polling on the same connection while the gateway answers with a link.
+    pub fn read_final(from: &mut BufReader<TcpStream>) -> Response {
         loop {
-            let answered = Answered::read(from);
-            let Some(link) = answered.body["link"].as_str() else { return answered };
+            let response = Response::read(from);
+            let Some(link) = response.body["link"].as_str() else { return response };
             let call = format!("GET {link} HTTP/1.1\r\nHost: h\r\n\r\n");
             from.get_mut().write_all(call.as_bytes()).unwrap();
         }
     }
 }
 
-pub const KEY: &str = "X-Operation-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
+/// An operation key, as a header line.
+pub const KEY_HEADER: &str = "X-Operation-Key: 5c0f6e1a2b3d4c59a8b7c6d5e4f30211\r\n";
 
+/// A call with a small statement and `more` header lines.
 pub fn call(workload: &str, id: u64, deadline_ms: u64, more: &str) -> String {
     let text = "SELECT note FROM sales_17.orders";
     format!(
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,10 +1,11 @@
-//! The gateway on loopback, against small stand-ins for engines, clients, the name service and other gateways.
+//! Tests of the gateway on loopback, with test doubles for engines, clients, the name service and other
+//! gateways.
 
 mod common;
 use bramblewharf_gateway::config;
 use bramblewharf_gateway::names::{read_answer, Asker, Word};
 use bramblewharf_standins::{answer, nobody, read_message, Call, Engine, Reply, LONG};
-use bramblewharf_turns::message::Observation as Told;
+use bramblewharf_turns::message::Observation;
 use bramblewharf_turns::{EngineHash, GossipMessage};
 use common::names::*;
 use common::program::*;
@@ -19,7 +20,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_result_comes_whole_in_order_and_unchanged() {
+fn result_pages_arrive_complete_in_order_and_unchanged() {
     let page = |n: usize| format!("{n}\tq\"\\/\u{1}\tzwölf\n{n}b\t\t \n").into_bytes();
     let engine = Engine::start(move |call| match (call.method.as_str(), call.path.as_str()) {
         ("POST", _) => answer(202, "X-Remark: so_far\r\nFigure: 0.5\r\n", b""),
@@ -31,13 +32,13 @@
             answer(200, &format!("Page-No: {number}\r\n"), &page(number))
         }
     });
-    let served = Served::before(&[engine.address]);
-    let more = format!("{KEY}X-Memory: 96\r\nX-Estimate-Ms: 820.0\r\n");
-    let answered = served.ask(&call("load", 0xabcdef, 60_000, &more));
-    assert_eq!(answered.status, 200);
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    let more = format!("{KEY_HEADER}X-Memory: 96\r\nX-Estimate-Ms: 820.0\r\n");
+    let response = gateway.ask(&call("load", 0xabcdef, 60_000, &more));
+    assert_eq!(response.status, 200);
     let rows = |n: usize| [json!([n.to_string(), "q\"\\/\u{1}", "zwölf"]), json!([format!("{n}b"), "", " "])];
     let all: Vec<Value> = (0..3).flat_map(rows).collect();
-    assert_eq!(answered.body, json!({ "values": all }));
+    assert_eq!(response.body, json!({ "values": all }));
     let sent = engine.wait(|call| call.method == "POST");
     assert_eq!((sent.path.as_str(), &sent.body[..]), ("/x", &b"SELECT note FROM sales_17.orders"[..]));
     for (name, value) in [
@@ -52,11 +53,11 @@
 }
 
 #[test]
-fn only_what_proves_that_nothing_ran_goes_out_again() {
-    let well = Engine::well();
-    // The walk begins one past the first engine: that one fails.
-    let served = Served::before(&[well.address, nobody()]);
-    assert_eq!(served.ask(&call("once", 1, 60_000, "")).status, 200);
+fn only_answers_that_prove_no_execution_are_retried() {
+    let healthy = Engine::well();
+    // The subset starts one past the first engine, so the failing engine is tried first.
+    let gateway = TestGateway::in_front_of(&[healthy.address, nobody()]);
+    assert_eq!(gateway.ask(&call("once", 1, 60_000, "")).status, 200);
     type Script = fn(&Call) -> Reply;
     let broken: [(Script, bool); 5] = [
         (|_| answer(503, "X-Shed: 1\r\n", b""), true),
@@ -66,20 +67,20 @@
         (|call| if call.method == "POST" { Reply::Reset } else { answer(500, "", b"") }, false),
     ];
     for (at, (script, never_ran)) in broken.into_iter().enumerate() {
-        let (well, ill) = (Engine::well(), Engine::start(script));
-        let served = Served::before(&[well.address, ill.address]);
-        let answered = served.ask(&call("once", 1, 60_000, ""));
-        assert_eq!(answered.status, if never_ran { 200 } else { 500 }, "case {at}: {}", answered.body);
-        assert_eq!((ill.posts(), well.posts()), (1, usize::from(never_ran)), "case {at}");
-        // One that may run again does.
-        assert_eq!(served.ask(&call("read", 2, 60_000, "")).status, 200, "case {at}");
+        let (healthy, faulty) = (Engine::well(), Engine::start(script));
+        let gateway = TestGateway::in_front_of(&[healthy.address, faulty.address]);
+        let response = gateway.ask(&call("once", 1, 60_000, ""));
+        assert_eq!(response.status, if never_ran { 200 } else { 500 }, "case {at}: {}", response.body);
+        assert_eq!((faulty.posts(), healthy.posts()), (1, usize::from(never_ran)), "case {at}");
+        // An idempotent statement is retried in every case.
+        assert_eq!(gateway.ask(&call("read", 2, 60_000, "")).status, 200, "case {at}");
     }
 }
 
 #[test]
-fn what_is_not_whole_is_no_result() {
+fn incomplete_pages_are_not_returned_as_a_result() {
     type Script = fn(&Call) -> Reply;
-    let ill: [Script; 12] = [
+    let faulty: [Script; 12] = [
         |_| answer(200, &format!("X-Long: {}\r\n", "x".repeat(200_000)), b""),
         |_| Reply::Cut(b"SMTP ready\r\n\r\n".to_vec()),
         |_| answer(200, "", b"a\tb\tc\n"),
@@ -102,22 +103,22 @@
             _ => Reply::Cut(b"HTTP/1.1 200 X\r\nContent-Length: 60\r\nPage-No: 1\r\n\r\na\tb".to_vec()),
         },
     ];
-    for (at, script) in ill.into_iter().enumerate() {
-        let (well, ill) = (Engine::well(), Engine::start(script));
-        let served = Served::before(&[well.address, ill.address]);
-        let answered = served.ask(&call("read", 1, 60_000, ""));
-        assert_eq!(answered.body, json!({"values": [["well", "1", "x"]]}), "case {at}");
-        assert_eq!((ill.posts(), well.posts()), (1, 1), "case {at}");
+    for (at, script) in faulty.into_iter().enumerate() {
+        let (healthy, faulty) = (Engine::well(), Engine::start(script));
+        let gateway = TestGateway::in_front_of(&[healthy.address, faulty.address]);
+        let response = gateway.ask(&call("read", 1, 60_000, ""));
+        assert_eq!(response.body, json!({"values": [["well", "1", "x"]]}), "case {at}");
+        assert_eq!((faulty.posts(), healthy.posts()), (1, 1), "case {at}");
     }
 }
 
-/// Whatever came of an answer on its way: the work ran, so its end and its pages are asked for again on another connection,
-/// and the statement is not sent again.
+/// If an answer is corrupted in transit, the statement has run: its status and pages are requested again on
+/// another connection, and the statement is not sent again.
 #[test]
-fn what_is_spoilt_on_its_way_is_asked_for_again() {
+fn corrupted_answers_are_fetched_again_without_resending() {
     let head = |fields: &str, body: &str| format!("HTTP/1.1 200 X\r\n{fields}\r\n{body}").into_bytes();
-    type Spoilt = fn(&dyn Fn(&str, &str) -> Vec<u8>) -> Reply;
-    let spoilt: [Spoilt; 15] = [
+    type Corruption = fn(&dyn Fn(&str, &str) -> Vec<u8>) -> Reply;
+    let corrupted: [Corruption; 15] = [
         |_| Reply::Raw(b"\x00\xff\x80 noise\r\n\r\n".to_vec()),
         |head| Reply::Raw(head(&format!("X-Long: {}", "x".repeat(20_000)), "")),
         |head| Reply::Endless(head("X-Long: ", "")[..26].to_vec()),
@@ -144,14 +145,14 @@
         |_| Reply::Frozen(b"HTTP/1.1 200 X\r\nContent-Le"),
         |_| Reply::Silent,
     ];
-    for (at, spoilt) in spoilt.into_iter().enumerate() {
+    for (at, corrupted) in corrupted.into_iter().enumerate() {
         for bad_path in ["/x", "/x/0000000000000001/0", "/x/0000000000000001/1"] {
             let left = Mutex::new(2);
             let engine = Engine::start(move |call| {
                 let mut left = left.lock().unwrap();
                 if call.path == bad_path && *left > 0 {
                     *left -= 1;
-                    return spoilt(&head);
+                    return corrupted(&head);
                 }
                 match call.path.as_str() {
                     "/x" => answer(202, "", b""),
@@ -159,25 +160,25 @@
                     _ => answer(200, "Page-No: 1\r\n", b"b\t2\ty\n"),
                 }
             });
-            let served = Served::before(&[engine.address]);
-            let answered = served.ask(&call("once", 1, 60_000, ""));
+            let gateway = TestGateway::in_front_of(&[engine.address]);
+            let response = gateway.ask(&call("once", 1, 60_000, ""));
             let rows = json!({"values": [["a", "1", "x"], ["b", "2", "y"]]});
-            assert_eq!((engine.posts(), answered.body), (1, rows), "case {at} at {bad_path}");
+            assert_eq!((engine.posts(), response.body), (1, rows), "case {at} at {bad_path}");
         }
     }
 }
 
-/// A statement whose answer is lost is over for its engine. Once an answer was lost, the end of the next is asked for while
-/// its answer is still awaited.
+/// A statement whose answer is lost has ended at its engine. After one lost answer, the next statement is
+/// polled for while its answer is still awaited.
 #[test]
-fn a_lost_answer_is_asked_for_beside() {
+fn lost_answer_is_polled_for_on_another_connection() {
     let engine = Engine::start(|call| match call.method.as_str() {
         "POST" => Reply::Silent,
         _ => answer(200, "Page-Count: 1\r\n", b"done\n"),
     });
-    let served = Served::before(&[engine.address]);
+    let gateway = TestGateway::in_front_of(&[engine.address]);
     for id in [1, 2] {
-        assert_eq!(served.ask(&call("once", id, 60_000, "")).body, json!({"values": [["done"]]}));
+        assert_eq!(gateway.ask(&call("once", id, 60_000, "")).body, json!({"values": [["done"]]}));
         let ticket = format!("{id:016x}");
         engine.wait(|call| call.method == "CLOSED" && call.headers.get("x-ticket") == Some(&ticket));
     }
@@ -185,34 +186,35 @@
     assert_eq!(calls[calls.len() - 3..], ["POST", "GET", "CLOSED"]);
 }
 
-/// What comes before a good answer, or behind it, is no part of it, and no statement ever gets another's result.
+/// Bytes before or after a valid answer are not part of it, and no statement ever gets another statement's
+/// result.
 #[test]
-fn more_than_an_answer_costs_its_connection_only() {
-    let well = |call: &Call| {
+fn surplus_bytes_around_an_answer_cost_only_the_connection() {
+    let valid_answer = |call: &Call| {
         let row = call.headers.get("x-ticket").cloned().unwrap_or_default() + "\n";
         format!("HTTP/1.1 200 X\r\nPage-Count: 1\r\nContent-Length: {}\r\n\r\n{row}", row.len()).into_bytes()
     };
     let early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\nX-A: b\r\n\r\n";
     type Way = fn(&[u8], &[u8]) -> Vec<u8>;
     let ways: [Way; 3] = [
-        |_, well| [well, well].concat(),
-        |early, well| [early, well].concat(),
-        |early, well| [well, early, b"\x00\xff"].concat(),
+        |_, valid| [valid, valid].concat(),
+        |early, valid| [early, valid].concat(),
+        |early, valid| [valid, early, b"\x00\xff"].concat(),
     ];
     for way in ways {
-        let engine = Engine::start(move |call| Reply::Raw(way(early, &well(call))));
-        let served = Served::before(&[engine.address]);
+        let engine = Engine::start(move |call| Reply::Raw(way(early, &valid_answer(call))));
+        let gateway = TestGateway::in_front_of(&[engine.address]);
         for id in 0..30 {
-            let answered = served.ask(&call("once", id, 60_000, ""));
-            assert_eq!(answered.body, json!({"values": [[format!("{id:016x}")]]}));
+            let response = gateway.ask(&call("once", id, 60_000, ""));
+            assert_eq!(response.body, json!({"values": [[format!("{id:016x}")]]}));
         }
         assert_eq!(engine.posts(), 30);
     }
 }
 
-/// An engine that says nothing more, or stops within a page, costs a statement its time, and nothing beyond that.
+/// An engine that stops responding, also within a page, costs a statement its deadline and no more.
 #[test]
-fn a_silent_engine_costs_a_statement_its_time_only() {
+fn silent_engine_costs_a_statement_only_its_time() {
     type Script = fn(&Call) -> Reply;
     let scripts: [Script; 2] = [
         |_| Reply::Silent,
@@ -223,19 +225,19 @@
     ];
     for script in scripts {
         let engine = Engine::start(script);
-        let served = Served::before(&[engine.address]);
+        let gateway = TestGateway::in_front_of(&[engine.address]);
         let before = std::time::Instant::now();
-        let answered = served.ask(&call("once", 1, 300, ""));
-        assert_eq!((answered.status, answered.body), (500, json!({"abort": "Failed"})));
+        let response = gateway.ask(&call("once", 1, 300, ""));
+        assert_eq!((response.status, response.body), (500, json!({"abort": "Failed"})));
         assert!(before.elapsed() >= Duration::from_millis(290));
         engine.wait(|call| call.method == "DELETE" && call.path == "/x/0000000000000001");
         assert_eq!(engine.posts(), 1);
     }
 }
 
-/// A poll whose connection broke says nothing of the statement: it is asked for again.
+/// A broken connection during a poll says nothing about the statement, so the poll is repeated.
 #[test]
-fn a_broken_poll_is_asked_again() {
+fn broken_poll_is_retried() {
     let polls = Mutex::new(0);
     let engine = Engine::start(move |call| match call.method.as_str() {
         "POST" => answer(202, "", b""),
@@ -249,45 +251,45 @@
             }
         }
     });
-    let served = Served::before(&[engine.address]);
-    assert_eq!(served.ask(&call("once", 1, 60_000, "")).body, json!({"values": [["late"]]}));
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    assert_eq!(gateway.ask(&call("once", 1, 60_000, "")).body, json!({"values": [["late"]]}));
     assert_eq!(engine.posts(), 1);
 }
 
 #[test]
-fn a_client_that_leaves_ends_the_work() {
+fn client_disconnect_cancels_the_statement() {
     let engine = Engine::start(|_| answer(202, "", b""));
-    let served = Served::before(&[engine.address]);
-    let mut stream = served.connect();
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    let mut stream = gateway.connect();
     stream.write_all(call("read", 9, 60_000, "").as_bytes()).unwrap();
     engine.wait(|call| call.method == "POST");
     drop(stream);
     engine.wait(|call| call.method == "DELETE" && call.path == "/x/0000000000000009");
 }
 
-/// A client that only closes its sending side has left too, but is told so.
+/// A client that closes only its sending side counts as disconnected, but still gets a response.
 #[test]
-fn a_client_that_sends_no_more_gets_a_whole_answer() {
+fn half_closed_client_gets_a_complete_error_response() {
     let engine = Engine::start(|_| answer(202, "", b""));
-    let served = Served::before(&[engine.address]);
-    let mut stream = served.connect();
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    let mut stream = gateway.connect();
     stream.write_all(call("read", 9, 60_000, "").as_bytes()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(Answered::read(&mut BufReader::new(stream)).status, 500);
+    assert_eq!(Response::read(&mut BufReader::new(stream)).status, 500);
 }
 
 #[test]
-fn with_no_engine_a_statement_is_rejected_with_advice() {
-    let served = Served::before(&[]);
-    let answered = served.ask(&call("read", 1, 60_000, ""));
-    assert_eq!((answered.status, answered.body), (503, json!({"abort": "Busy"})));
-    assert!(answered.headers["x-pushback-ms"].parse::<u64>().unwrap() <= 2000);
+fn without_engines_statements_are_rejected_with_a_retry_delay() {
+    let gateway = TestGateway::in_front_of(&[]);
+    let response = gateway.ask(&call("read", 1, 60_000, ""));
+    assert_eq!((response.status, response.body), (503, json!({"abort": "Busy"})));
+    assert!(response.headers["x-pushback-ms"].parse::<u64>().unwrap() <= 2000);
 }
 
 #[test]
-fn bad_calls_are_answered_and_never_reach_an_engine() {
+fn bad_calls_are_rejected_and_never_reach_an_engine() {
     let engine = Engine::well();
-    let served = Served::before(&[engine.address]);
+    let gateway = TestGateway::in_front_of(&[engine.address]);
     let good = call("read", 1, 60_000, "");
     let long = "x".repeat(80_000);
     for (bad, status) in [
@@ -333,26 +335,26 @@
         ("nonsense\r\n\r\n".to_string(), 400),
     ] {
         let shown = &bad[..bad.len().min(300)];
-        // What is hidden behind it is no call of anyone's.
-        let mut stream = BufReader::new(served.connect());
+        // A call smuggled in after the bad one is not carried out.
+        let mut stream = BufReader::new(gateway.connect());
         stream.get_mut().write_all((bad.clone() + &good.replace("000001", "000002")).as_bytes()).unwrap();
-        assert_eq!(Answered::read(&mut stream).status, status, "{shown}");
+        assert_eq!(Response::read(&mut stream).status, status, "{shown}");
         assert_eq!(stream.read_to_end(&mut Vec::new()).unwrap_or(0), 0, "{shown}");
     }
-    assert_eq!(served.ask(&good.replace("Content-Length: 32\r\n", "")).status, 400);
+    assert_eq!(gateway.ask(&good.replace("Content-Length: 32\r\n", "")).status, 400);
     assert_eq!(engine.calls.0.lock().unwrap().len(), 0);
-    assert_eq!(served.ask("GET /status/live HTTP/1.1\r\nHost: h\r\n\r\n").status, 200);
-    assert_eq!(served.ask(&good.replace("X-Deadline-Ms: 60000", "X-Deadline-Ms: 60014")).status, 200);
+    assert_eq!(gateway.ask("GET /status/live HTTP/1.1\r\nHost: h\r\n\r\n").status, 200);
+    assert_eq!(gateway.ask(&good.replace("X-Deadline-Ms: 60000", "X-Deadline-Ms: 60014")).status, 200);
 }
 
-/// Whoever sends nothing, a part of a call or no end of one is answered or closed within 3 s, and usual clients are
-/// served meanwhile, whatever the number of the others.
+/// A client that sends nothing, or only a part of a call, gets a response or is closed within 3 s. Other
+/// clients are served meanwhile, however many such clients there are.
 #[test]
-fn nobody_holds_a_connection_by_silence() {
+fn silent_clients_cannot_hold_connections() {
     let engine = Engine::well();
     let mut configuration = configuration(&[engine.address]);
     configuration["limits"]["sockets"] = json!(128);
-    let served = Served::by(&configuration);
+    let gateway = TestGateway::start(&configuration);
     let bounds = config::read(&configuration, None, None).unwrap().bounds;
     let good = call("read", 1, 60_000, "");
     let parts = ["", "POST /svc/read HT", &good[..good.len() - 40], &good[..good.len() - 4], "PO\r\n"];
@@ -360,7 +362,7 @@
     let bad: Vec<TcpStream> = parts
         .iter()
         .map(|part| {
-            let mut stream = served.connect();
+            let mut stream = gateway.connect();
             stream.write_all(part.as_bytes()).unwrap();
             stream
         })
@@ -371,27 +373,29 @@
         let read = String::from_utf8_lossy(&read);
         assert!(begun.elapsed() < Duration::from_secs(3), "{:?} {part:?} {read}", begun.elapsed());
     }
-    // Far more than there is room for: the silent ones go first, and the one that has just asked stays.
+    // Far more connections than the limit: unused ones are closed first, and the one with a recent call
+    // stays.
     let mut asked_once = {
-        let mut stream = served.connect();
+        let mut stream = gateway.connect();
         stream.write_all(good.as_bytes()).unwrap();
         let mut stream = BufReader::new(stream);
-        assert_eq!(Answered::read(&mut stream).status, 200);
+        assert_eq!(Response::read(&mut stream).status, 200);
         stream
     };
-    let silent: Vec<TcpStream> = (0..3 * bounds.clients).map(|_| served.connect()).collect();
-    assert_eq!(served.ask(&call("read", 2, 60_000, "")).status, 200);
+    let silent_connections: Vec<TcpStream> = (0..3 * bounds.clients).map(|_| gateway.connect()).collect();
+    assert_eq!(gateway.ask(&call("read", 2, 60_000, "")).status, 200);
     asked_once.get_mut().write_all(call("read", 3, 60_000, "").as_bytes()).unwrap();
-    assert_eq!(Answered::read(&mut asked_once).status, 200);
-    drop(silent);
+    assert_eq!(Response::read(&mut asked_once).status, 200);
+    drop(silent_connections);
 }
 
-/// A text without end is refused at once, the client can read that, and no more than a little of the rest is read.
+/// A body without end is rejected at once, the client can read the response, and only little of the rest is
+/// read.
 #[test]
-fn a_text_without_end_is_refused_and_not_read() {
-    let served = Served::before(&[]);
+fn endless_body_is_rejected_without_reading_it() {
+    let gateway = TestGateway::in_front_of(&[]);
     for fields in ["Content-Length: 60000000", "Transfer-Encoding: chunked"] {
-        let mut stream = served.connect();
+        let mut stream = gateway.connect();
         let head = call("read", 1, 60_000, "").replace("Content-Length: 32", fields);
         let (head, _) = head.split_at(head.find("\r\n\r\n").unwrap() + 4);
         stream.write_all(head.as_bytes()).unwrap();
@@ -400,78 +404,79 @@
             let piece = [&b"4000\r\n"[..], &[b'x'; 0x4000], b"\r\n"].concat();
             (0..3_600).take_while(|_| sender.write_all(&piece).is_ok()).count()
         });
-        assert_eq!(Answered::read(&mut BufReader::new(stream)).status, 413, "{fields}");
+        assert_eq!(Response::read(&mut BufReader::new(stream)).status, 413, "{fields}");
         assert!(sent.join().unwrap() < 3_600, "{fields}");
     }
 }
 
-/// Neither the id of an open statement nor its path gives a stranger anything of it, or takes anything from its client.
+/// Knowing the id of an open statement gives another client neither its result nor control over it.
 #[test]
-fn strangers_neither_get_nor_stop_a_statement() {
+fn other_clients_cannot_fetch_or_cancel_a_statement() {
     let open = Arc::new(Mutex::new(false));
     let gate = open.clone();
     let engine = Engine::start(move |call| match *gate.lock().unwrap() {
         true if call.method != "DELETE" => answer(200, "Page-Count: 1\r\n", b"done\n"),
         _ => answer(202, "", b""),
     });
-    let served = Served::before(&[engine.address]);
-    let held = served.ask_aside(call("once", 7, 60_000, ""));
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    let held = gateway.ask_in_background(call("once", 7, 60_000, ""));
     engine.wait(|call| call.method == "POST");
     let other = call("once", 7, 60_000, "").replace("SELECT note", "DELETE many");
-    assert_eq!(served.ask(&other).status, 409);
+    assert_eq!(gateway.ask(&other).status, 409);
     for method in ["GET", "DELETE"] {
-        assert_eq!(served.get(method, "/svc/next/0000000000000007").status, 404);
+        assert_eq!(gateway.get(method, "/svc/next/0000000000000007").status, 404);
     }
     *open.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
     assert_eq!(engine.posts(), 1);
 }
 
-/// A statement that takes long has a path to come back to: neither a broken connection nor a call made again costs its
-/// answer, and whoever gives it up or stays away ends the work.
+/// A long statement gets a path to poll. Neither a broken connection nor a repeated poll loses its answer,
+/// and a client that deletes the path or stops polling cancels the statement.
 #[test]
-fn a_long_statement_is_come_back_for() {
+fn long_statement_survives_reconnects_and_ends_when_abandoned() {
     let open = Arc::new(Mutex::new(false));
     let gate = open.clone();
     let engine = Engine::start(move |_| match *gate.lock().unwrap() {
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let served = Served::before(&[engine.address]);
-    // Each of these connections is closed as soon as the path is here.
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    // Each of these connections is closed as soon as the path has arrived.
     let path = |id| {
-        let mut stream = served.connect();
+        let mut stream = gateway.connect();
         stream.write_all(call("read", id, 60_000, "").as_bytes()).unwrap();
-        let answered = Answered::read(&mut BufReader::new(stream));
-        answered.body["link"].as_str().expect("a path").to_string()
+        let response = Response::read(&mut BufReader::new(stream));
+        response.body["link"].as_str().expect("a path").to_string()
     };
     let deleted = |id: u64| {
         let path = format!("/x/{id:016x}");
         engine.wait(move |call| call.method == "DELETE" && call.path == path);
     };
     let given_up = path(1);
-    assert_eq!(served.get("DELETE", &given_up).status, 204);
+    assert_eq!(gateway.get("DELETE", &given_up).status, 204);
     deleted(1);
-    assert_eq!(served.get("GET", &given_up).status, 404);
+    assert_eq!(gateway.get("GET", &given_up).status, 404);
     path(2);
     deleted(2);
     let kept = path(3);
-    let mut broken = served.connect();
+    let mut broken = gateway.connect();
     broken.write_all(format!("GET {kept} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).unwrap();
     drop(broken);
     *open.lock().unwrap() = true;
     for _ in 0..2 {
-        let mut answered = served.get("GET", &kept);
-        while answered.body["link"].is_string() {
-            answered = served.get("GET", &kept);
+        let mut response = gateway.get("GET", &kept);
+        while response.body["link"].is_string() {
+            response = gateway.get("GET", &kept);
         }
-        assert_eq!(answered.body, json!({"values": [["done"]]}));
+        assert_eq!(response.body, json!({"values": [["done"]]}));
     }
 }
 
-/// With all descriptors in use new calls are rejected or wait for one, and none is lost; idle ones make room.
+/// With all file descriptors in use new calls are rejected or wait, and none is lost; idle connections are
+/// closed for them.
 #[test]
-fn at_its_bounds_it_rejects_early_and_recovers() {
+fn rejects_early_at_its_limits_and_recovers() {
     let open = Arc::new(Mutex::new(false));
     let gate = open.clone();
     let engine = Engine::start(move |_| match *gate.lock().unwrap() {
@@ -480,37 +485,37 @@
     });
     let mut configuration = configuration(&[engine.address]);
     configuration["limits"]["sockets"] = json!(128);
-    // Capacity is no matter here.
+    // Enough engine capacity not to limit this test.
     configuration["settings"]["domain"]["sizeCores"] = json!([1000]);
-    let served = Served::by(&configuration);
+    let gateway = TestGateway::start(&configuration);
     let bounds = config::read(&configuration, None, None).unwrap().bounds;
     assert!(
         bounds.clients > 128 / 3 && bounds.stmts < bounds.clients && bounds.clients + bounds.engines < 128
     );
-    let idle: Vec<TcpStream> = (0..bounds.clients + 8).map(|_| served.connect()).collect();
+    let idle: Vec<TcpStream> = (0..bounds.clients + 8).map(|_| gateway.connect()).collect();
     let mut held = Vec::new();
     for id in 0..bounds.stmts as u64 {
-        held.push(served.ask_aside(call("read", id, 60_000, "")));
+        held.push(gateway.ask_in_background(call("read", id, 60_000, "")));
         engine.wait(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
     }
-    let rejected = served.ask(&call("read", 99, 60_000, ""));
+    let rejected = gateway.ask(&call("read", 99, 60_000, ""));
     assert!(rejected.headers["x-pushback-ms"].parse::<u64>().unwrap() <= 2000);
     assert_eq!((rejected.status, rejected.body), (503, json!({"abort": "Busy"})));
     *open.lock().unwrap() = true;
     for asked in held {
         assert_eq!(asked.join().unwrap().status, 200);
     }
-    assert_eq!(served.ask(&call("read", 100, 60_000, "")).status, 200);
+    assert_eq!(gateway.ask(&call("read", 100, 60_000, "")).status, 200);
     drop(idle);
 }
 
-/// Bytes of no protocol from clients and engines cost no more than the call they came in.
+/// Random bytes from clients and engines affect only the call they came in.
 #[test]
-fn garbage_costs_one_call() {
+fn garbage_bytes_affect_only_one_call() {
     let mut gen = Gen::from_size_and_seed(300, 5);
     let mut garbage = move |at: usize| {
         let noise = Vec::<u8>::arbitrary(&mut gen);
-        // A beginning that makes sense leads further in.
+        // A valid beginning leads further into the parsers.
         let lead: &[u8] = [
             &b""[..],
             b"POST /svc/read HTTP/1.1\r\n",
@@ -521,8 +526,8 @@
     };
     let noise: Vec<Vec<u8>> = (0..80).map(&mut garbage).collect();
     let replies = Mutex::new((noise.clone(), 0));
-    // One call in four: further executions are rationed.
-    let ill = Engine::start(move |_| {
+    // Only one call in four, as the retry budget limits further executions.
+    let faulty = Engine::start(move |_| {
         let (noise, calls) = &mut *replies.lock().unwrap();
         *calls += 1;
         match (*calls % 4 == 0).then(|| noise.pop()).flatten() {
@@ -530,31 +535,31 @@
             None => answer(200, "Page-Count: 1\r\n", b"ill\t1\tx\n"),
         }
     });
-    let well = Engine::well();
-    let served = Served::before(&[well.address, ill.address]);
+    let healthy = Engine::well();
+    let gateway = TestGateway::in_front_of(&[healthy.address, faulty.address]);
     for (id, noise) in noise.into_iter().enumerate() {
-        let mut stream = served.connect();
-        // The gateway may close before all of it is read.
+        let mut stream = gateway.connect();
+        // The gateway may close the connection before all of it is read.
         let _ = stream.write_all(&noise).and_then(|()| stream.shutdown(Shutdown::Write));
         let _ = stream.read_to_end(&mut Vec::new());
         for more in 0..4 {
-            assert_eq!(served.ask(&call("read", 4 * id as u64 + more, 60_000, "")).status, 200);
+            assert_eq!(gateway.ask(&call("read", 4 * id as u64 + more, 60_000, "")).status, 200);
         }
     }
 }
 
-/// A good call with some of its bytes changed, left out or doubled is refused or means what it says: an engine gets it
-/// once, plainly well formed and as it was sent, where there is a result, and else not at all.
+/// A valid call with some bytes changed, removed or repeated is either rejected or carried out as sent: an
+/// engine gets it exactly once, well formed, if there is a result, and otherwise not at all.
 #[test]
-fn changed_calls_are_refused_or_mean_what_they_say() {
+fn mutated_calls_are_rejected_or_executed_as_sent() {
     let engine = Engine::well();
     let mut configuration = configuration(&[engine.address]);
-    // Capacity is no matter here.
+    // Enough engine capacity not to limit this test.
     configuration["settings"]["domain"]["sizeCores"] = json!([10_000]);
-    let served = Served::by(&configuration);
+    let gateway = TestGateway::start(&configuration);
     let mut gen = Gen::from_size_and_seed(10, 11);
     let change = |id| {
-        let mut bytes = call("read", id, 60_000, KEY).into_bytes();
+        let mut bytes = call("read", id, 60_000, KEY_HEADER).into_bytes();
         for _ in 0..=usize::arbitrary(&mut gen) % 3 {
             let at = usize::arbitrary(&mut gen) % bytes.len();
             let odd = [b'\r', b'\n', b':', b' ', b'0', b'\t', 0, 0xff, b'-', b','];
@@ -569,7 +574,7 @@
     };
     let cases: Vec<Vec<u8>> = (0..200).map(change).collect();
     let send = |bytes: &Vec<u8>| {
-        let mut stream = served.connect();
+        let mut stream = gateway.connect();
         let _ = stream.write_all(bytes);
         BufReader::new(stream)
     };
@@ -598,79 +603,81 @@
 }
 
 #[test]
-fn calls_may_come_in_pieces_and_ahead_of_answers() {
+fn fragmented_and_pipelined_calls_are_answered() {
     let engine = Engine::well();
-    let served = Served::before(&[engine.address]);
-    let mut stream = served.connect();
+    let gateway = TestGateway::in_front_of(&[engine.address]);
+    let mut stream = gateway.connect();
     let both = call("read", 1, 60_000, "") + &call("read", 2, 60_000, "");
     for piece in both.as_bytes().chunks(7) {
         stream.write_all(piece).unwrap();
     }
     let mut read = BufReader::new(stream);
-    assert_eq!(Answered::read(&mut read).status, 200);
-    assert_eq!(Answered::read(&mut read).status, 200);
+    assert_eq!(Response::read(&mut read).status, 200);
+    assert_eq!(Response::read(&mut read).status, 200);
     let tickets: Vec<String> =
         engine.calls.0.lock().unwrap().iter().map(|call| call.headers["x-ticket"].clone()).collect();
     assert_eq!(tickets, ["0000000000000001", "0000000000000002"]);
 }
 
-/// Told to close, it still answers what it holds and what comes, and then lets go of its address.
+/// During a shutdown, statements in progress and new ones are still answered; then the address is released.
 #[test]
-fn closing_loses_nothing() {
+fn shutdown_answers_all_calls() {
     let open = Arc::new(Mutex::new(false));
     let gate = open.clone();
     let engine = Engine::start(move |_| match *gate.lock().unwrap() {
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let mut served = Served::before(&[engine.address]);
-    let held = served.ask_aside(call("read", 1, 60_000, ""));
+    let mut gateway = TestGateway::in_front_of(&[engine.address]);
+    let held = gateway.ask_in_background(call("read", 1, 60_000, ""));
     engine.wait(|call| call.method == "POST");
-    served.stop.take().unwrap().send(()).unwrap();
-    let late = served.ask_aside(call("read", 2, 60_000, ""));
+    gateway.stop.take().unwrap().send(()).unwrap();
+    let late = gateway.ask_in_background(call("read", 2, 60_000, ""));
     engine.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
     *open.lock().unwrap() = true;
     for asked in [held, late] {
         assert_eq!(asked.join().unwrap().body, json!({"values": [["done"]]}));
     }
-    served.thread.take().unwrap().join().unwrap();
-    assert!(TcpStream::connect(served.address).is_err());
+    gateway.thread.take().unwrap().join().unwrap();
+    assert!(TcpStream::connect(gateway.address).is_err());
 }
 
-/// What takes longer than a gateway is given to close in gets an answer all the same.
+/// A statement that takes longer than the shutdown may take is answered with an error.
 #[test]
-fn closing_ends_what_takes_longer() {
+fn shutdown_aborts_statements_that_take_too_long() {
     let engine = Engine::start(|_| answer(202, "", b""));
-    let mut served = Served::before(&[engine.address]);
-    let held = served.ask_aside(call("once", 1, 60_000, ""));
+    let mut gateway = TestGateway::in_front_of(&[engine.address]);
+    let held = gateway.ask_in_background(call("once", 1, 60_000, ""));
     engine.wait(|call| call.method == "POST");
-    served.stop.take().unwrap().send(()).unwrap();
+    gateway.stop.take().unwrap().send(()).unwrap();
     assert_eq!(held.join().unwrap().body, json!({"abort": "Failed"}));
-    served.thread.take().unwrap().join().unwrap();
+    gateway.thread.take().unwrap().join().unwrap();
 }
 
 #[test]
-fn the_list_follows_the_name_service_and_no_forged_answer() {
-    let well = Engine::well();
-    let address = well.address;
+fn engine_list_follows_the_name_service_and_ignores_forged_answers() {
+    let healthy = Engine::well();
+    let address = healthy.address;
     let (names, asked) = name_service(move |number, id| match number {
-        // Another id, and no whole list: neither says anything.
+        // An answer with another id and one without a complete list: both are ignored.
         0 => vec![list_answer(id.wrapping_add(1), 9, &[("x", address, 0)]), Message::query()],
         _ => vec![list_answer(id, 9, &[("x", address, 0)])],
     });
     let mut configuration = configuration(&[]);
     configuration["names"] = json!(names.to_string());
-    let served = Served::by(&configuration);
-    // The second question tells that the first was of no use, the third that the second's answer was taken.
+    let gateway = TestGateway::start(&configuration);
+    // A second query shows that the first answers were ignored, a third that the answer to the second was
+    // applied.
     while asked.recv_timeout(LONG).unwrap() < 1 {}
     while asked.recv_timeout(LONG).unwrap() < 2 {}
-    assert_eq!(served.ask(&call("read", 2, 60_000, "")).status, 200);
-    assert_eq!(well.posts(), 1);
+    assert_eq!(gateway.ask(&call("read", 2, 60_000, "")).status, 200);
+    assert_eq!(healthy.posts(), 1);
 }
 
-/// The list follows the name service to another address, from its number on, and no statement notices.
+/// After a reload the list follows the new name service from its serial number on, and statements are not
+/// affected.
 #[test]
-fn a_reload_moves_the_name_service_and_touches_no_statement() {
+fn reload_changes_the_name_service_without_affecting_statements() {
     let open = Arc::new(Mutex::new(true));
     let gate = open.clone();
     let first = Engine::start(move |_| match *gate.lock().unwrap() {
@@ -680,7 +687,7 @@
     let second = Engine::well();
     let (at_first, at_second) = (first.address, second.address);
     let (old, _asked) = name_service(move |_, id| vec![list_answer(id, 5, &[("a", at_first, 0)])]);
-    // The new one begins with an older list, which is none.
+    // The new service first answers with an older list, which is ignored.
     let (new, asked) = name_service(move |number, id| {
         let (serial, engine) = if number < 2 { (3, at_first) } else { (6, at_second) };
         vec![list_answer(id, serial, &[("b", engine, 0)])]
@@ -688,38 +695,38 @@
     let mut configuration = configuration(&[]);
     configuration["known"]["no"] = json!(4);
     configuration["names"] = json!(old.to_string());
-    let served = Served::by(&configuration);
+    let gateway = TestGateway::start(&configuration);
     let mut id = 0;
-    while served.ask(&call("once", id, 60_000, "")).status == 503 {
+    while gateway.ask(&call("once", id, 60_000, "")).status == 503 {
         id += 1;
     }
     *open.lock().unwrap() = false;
-    let held = served.ask_aside(call("once", 900, 60_000, ""));
+    let held = gateway.ask_in_background(call("once", 900, 60_000, ""));
     first.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with("384")));
     for _ in 0..3 {
         configuration["names"] = json!(nobody().to_string());
-        served.reload(configuration.clone()).unwrap();
+        gateway.reload(configuration.clone()).unwrap();
         configuration["names"] = json!(new.to_string());
-        served.reload(configuration.clone()).unwrap();
+        gateway.reload(configuration.clone()).unwrap();
     }
     while asked.recv_timeout(LONG).unwrap() < 3 {}
-    assert_eq!(served.ask(&call("once", 901, 60_000, "")).body, json!({"values": [["well", "1", "x"]]}));
-    // A later list in the file itself counts too, an earlier one does not.
+    assert_eq!(gateway.ask(&call("once", 901, 60_000, "")).body, json!({"values": [["well", "1", "x"]]}));
+    // A newer list in the file itself is applied too, an older one is not.
     let on_file = |no: u64, engine: SocketAddr| {
         let mut newer = self::configuration(&[engine]);
         (newer["known"]["no"], newer["names"]) = (json!(no), json!(new.to_string()));
         newer
     };
-    served.reload(on_file(5, at_first)).unwrap();
-    assert_eq!(served.ask(&call("once", 902, 60_000, "")).status, 200);
+    gateway.reload(on_file(5, at_first)).unwrap();
+    assert_eq!(gateway.ask(&call("once", 902, 60_000, "")).status, 200);
     *open.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
     assert_eq!(second.posts(), 2);
 }
 
-/// Not even for longer than a bad service was seen to tell them.
+/// Stale lists are ignored for longer than a faulty name service has been seen to send them.
 #[test]
-fn an_earlier_number_is_a_late_word() {
+fn lists_with_earlier_serial_numbers_are_ignored() {
     let address = nobody();
     let (names, _asked) = name_service(move |number, id| {
         let serial = [5, 3, 5].get(number).copied().unwrap_or(if number < 29 { 4 } else { 7 });
@@ -727,7 +734,7 @@
     });
     actix_rt::System::new().block_on(async {
         let mut asker = asker(names, 1);
-        // More than a second without a usable answer is told, and so is the end of that.
+        // More than a second without a usable answer is reported, and so is the recovery.
         for wanted in [Some(5), None, Some(7)] {
             let word = news(&mut asker).await;
             assert!(
@@ -739,7 +746,8 @@
     });
 }
 
-/// The next word that is news: neither that nothing has changed or been heard, nor a list of an earlier number.
+/// The next report of a change, skipping unchanged lists, missing answers and lists with an earlier serial
+/// number.
 async fn news(asker: &mut Asker) -> Word {
     loop {
         let word = tokio::time::timeout(LONG, asker.change()).await.unwrap();
@@ -756,9 +764,10 @@
     Asker::start(Some(names), no, 7, log).unwrap()
 }
 
-/// A name service that has been silent says so once, and its first answer counts even if nothing has changed.
+/// Silence of the name service is reported once, and the first answer after it is reported even if the list
+/// is unchanged.
 #[test]
-fn a_silent_name_service_is_told_and_its_return_too() {
+fn name_service_silence_and_recovery_are_reported() {
     let address = nobody();
     let (names, _asked) = name_service(move |number, id| match number {
         0 | 24.. => vec![list_answer(id, 5, &[("x", address, 0)])],
@@ -775,12 +784,12 @@
 }
 
 #[test]
-fn an_answer_is_a_whole_list_or_none() {
+fn name_service_answer_is_a_complete_list_or_none() {
     let service = Name::from_ascii(SERVICE).unwrap();
     let one = ("s-1", "127.0.0.1:7001".parse().unwrap(), 0);
     let two = ("s-2", "127.0.0.1:7002".parse().unwrap(), 1);
     let whole = list_answer(1, 41, &[one, two]);
-    // Through the bytes: names are compressed on the way.
+    // Encoded and decoded, as names are compressed in the wire format.
     let known = read_answer(&Message::from_vec(&whole.to_vec().unwrap()).unwrap(), &service).unwrap();
     assert_eq!(known.no, 41);
     let shown: Vec<String> = known
@@ -811,7 +820,7 @@
 }
 
 #[test]
-fn loads_are_told_to_other_gateways_and_strangers_are_not_heard() {
+fn loads_are_gossiped_and_unknown_senders_are_ignored() {
     let engine = Engine::start(|_| answer(202, "", b""));
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_read_timeout(Some(LONG)).unwrap();
@@ -820,27 +829,28 @@
     configuration["peer_listen"] = json!(own.to_string());
     configuration["peers"] = json!([own.to_string(), other.local_addr().unwrap().to_string()]);
     configuration["peers_all"] = json!(other.local_addr().unwrap().to_string());
-    let served = Served::by(&configuration);
+    let gateway = TestGateway::start(&configuration);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    // A stranger's word of two loads on the only engine, and words that cannot be read, change nothing.
-    let told = |loads| {
-        let words = vec![Told::Loads { engine: EngineHash::of("e0"), group: 17, loads }];
-        GossipMessage { zone: 0, observations: words }.encode()
+    // A message from an unknown sender about two loads on the only engine, and unreadable messages, change
+    // nothing.
+    let loads_message = |loads| {
+        let observations = vec![Observation::Loads { engine: EngineHash::of("e0"), group: 17, loads }];
+        GossipMessage { zone: 0, observations }.encode()
     };
-    stranger.send_to(&told(2), own).unwrap();
-    for bad in [&b"\xff\xfe"[..], b"", &told(2)[..9], b"2 17 e0", &[b'2'; 300]] {
+    stranger.send_to(&loads_message(2), own).unwrap();
+    for bad in [&b"\xff\xfe"[..], b"", &loads_message(2)[..9], b"2 17 e0", &[b'2'; 300]] {
         other.send_to(bad, own).unwrap();
     }
-    let mut stream = served.connect();
-    stream.write_all(call("load", 1, 60_000, KEY).as_bytes()).unwrap();
+    let mut stream = gateway.connect();
+    stream.write_all(call("load", 1, 60_000, KEY_HEADER).as_bytes()).unwrap();
     let mut bytes = [0; 300];
     let (length, from) = other.recv_from(&mut bytes).unwrap();
-    assert_eq!((&bytes[..length], from), (&told(1)[..], own));
+    assert_eq!((&bytes[..length], from), (&loads_message(1)[..], own));
     engine.wait(|call| call.method == "POST");
 }
 
 #[test]
-fn a_bad_configuration_is_named_by_its_key() {
+fn configuration_errors_name_the_key() {
     let mut good = configuration(&[nobody()]);
     good["settings"]["allowed"]["maxOpen"] = json!(1000);
     good["settings"]["allowed"]["dialTimeoutUs"] = json!(250_000);
@@ -884,7 +894,7 @@
         let said = config::read(&bad, None, None).err().unwrap_or_default();
         assert!(said.contains(message), "{path}: {said}");
     }
-    // A gateway of the smallest size still holds what a hundred statements a second need of it.
+    // Even the smallest gateway has the capacity for a hundred statements a second.
     good["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 256});
     let bounds = config::read(&good, None, None).unwrap().bounds;
     assert!(
@@ -896,14 +906,14 @@
 }
 
 #[test]
-fn the_program_says_what_is_wrong_and_starts_nothing() {
+fn program_reports_errors_and_does_not_start() {
     let program = |words: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_bramblewharf"));
         command.env_remove("EDGE_CONFIG").env_remove("EDGE_LISTEN").env_remove("EDGE_NAME");
         let out = command.args(words).output().unwrap();
         (out.status.code(), String::from_utf8(out.stderr).unwrap())
     };
-    let file = temporary("said.json");
+    let file = temporary_path("said.json");
     let path = file.to_str().unwrap();
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut configuration = configuration(&[]);
@@ -929,17 +939,17 @@
     assert_eq!(program(&["version"]).0, Some(0));
 }
 
-/// Killed with a text in a file and started again in the same folder: nothing is left of it, a neighbour's folder stays, and
-/// the settings are read again by SIGHUP, a wrong one leaving those in force.
+/// After a kill with a body in a file and a restart on the same directory, the file is removed and another
+/// process's directory stays. SIGHUP reloads the settings; invalid settings leave the old ones in force.
 #[test]
-fn the_program_keeps_texts_in_a_folder_of_its_own() {
+fn program_keeps_body_files_in_its_own_directory() {
     let gate = Arc::new(Mutex::new(false));
     let open = gate.clone();
     let engine = Engine::start(move |_| match *open.lock().unwrap() {
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let dir = temporary("bodies");
+    let dir = temporary_path("bodies");
     std::fs::create_dir(&dir).unwrap();
     let (file, settings) = (dir.join("gateway.json"), dir.join("gateway.hcl"));
     let listen = nobody();
@@ -954,7 +964,7 @@
     std::fs::write(&settings, &hcl).unwrap();
     let neighbour = bramblewharf_bodies::spool::SpoolDirectory::open(&dir).unwrap();
     let start = || {
-        let program = Program::with(&file, &["--settings", settings.to_str().unwrap()]);
+        let program = GatewayProcess::start_with(&file, &["--settings", settings.to_str().unwrap()]);
         let line = program.wait("files for bodies");
         program.wait("serving");
         (program, line)
@@ -966,14 +976,14 @@
     let text = "SELECT 1 ".repeat(100_000);
     let load = |id: u64| {
         format!(
-            "POST /svc/load HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 20000\r\nX-Org: acme\r\n{KEY}\
+            "POST /svc/load HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: {id:016x}\r\nX-Deadline-Ms: 20000\r\nX-Org: acme\r\n{KEY_HEADER}\
              Content-Length: {}\r\n\r\n{text}",
             text.len()
         )
     };
     let (mut killed, line) = start();
     assert!(line.contains("removed: 0"), "{line}");
-    let lost = ask_aside(TcpStream::connect(listen).unwrap(), load(1));
+    let lost = ask_in_background(TcpStream::connect(listen).unwrap(), load(1));
     engine.wait(|call| call.method == "POST" && call.body.len() == text.len());
     assert_eq!(folders(), 2);
     killed.child.kill().unwrap();
@@ -981,17 +991,18 @@
     assert!(lost.join().is_err());
     let (mut again, line) = start();
     assert!(line.contains("removed: 1") && neighbour.path().exists() && folders() == 2, "{line}");
-    // Half written: the old one stays in force. Then smaller.
+    // A truncated settings file leaves the old settings in force; a valid one with a smaller limit is
+    // applied.
     std::fs::write(&settings, &hcl[..hcl.len() / 2]).unwrap();
     again.signal("-HUP");
     assert!(again.wait("configuration not reloaded").contains("gateway.hcl:"));
-    let held = ask_aside(TcpStream::connect(listen).unwrap(), load(2));
+    let held = ask_in_background(TcpStream::connect(listen).unwrap(), load(2));
     engine.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
     std::fs::write(&settings, hcl.replace("largest = \"4 MiB\"", "largest = \"128 KiB\"")).unwrap();
     again.signal("-HUP");
     again.wait("configuration reloaded");
-    assert_eq!(ask_aside(TcpStream::connect(listen).unwrap(), load(3)).join().unwrap().status, 413);
-    // SIGTERM with one held.
+    assert_eq!(ask_in_background(TcpStream::connect(listen).unwrap(), load(3)).join().unwrap().status, 413);
+    // SIGTERM with a statement in progress.
     again.signal("-TERM");
     *gate.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
@@ -1001,19 +1012,20 @@
     std::fs::remove_dir_all(&dir).unwrap();
 }
 
-/// SIGHUP ends nothing, not even before the configuration is read; what is wrong leaves the old one in force.
+/// SIGHUP does not end the process, even before the configuration is read. An invalid configuration leaves
+/// the old one in force.
 #[test]
-fn the_program_reloads_by_sighup() {
+fn program_reloads_on_sighup() {
     let engine = Engine::well();
     let at = engine.address;
     let (names, asked) = name_service(move |_, id| vec![list_answer(id, 7, &[("e", at, 0)])]);
     let mut configuration = configuration(&[at]);
     let listen = nobody();
     configuration["listen"] = json!(listen.to_string());
-    let file = temporary("pipe");
+    let file = temporary_path("pipe");
     assert!(std::process::Command::new("mkfifo").arg(&file).status().unwrap().success());
-    let mut program = Program::start(&file);
-    // Whoever writes waits for the reader, and the reader for what is written.
+    let mut program = GatewayProcess::start(&file);
+    // Opening the pipe for writing blocks until the program opens it for reading.
     let mut pipe = std::fs::File::create(&file).unwrap();
     program.signal("-HUP");
     pipe.write_all(configuration.to_string().as_bytes()).unwrap();
@@ -1037,7 +1049,7 @@
     assert!(program.wait("configuration reloaded").contains("waits_for_restart: [\"limits\"]"));
     program.wait("list of engines");
     asked.recv_timeout(LONG).unwrap();
-    let asked = ask_aside(TcpStream::connect(listen).unwrap(), call("once", 1, 60_000, ""));
+    let asked = ask_in_background(TcpStream::connect(listen).unwrap(), call("once", 1, 60_000, ""));
     assert_eq!(asked.join().unwrap().status, 200);
     std::fs::remove_file(&file).unwrap();
     program.signal("-HUP");
@@ -1046,10 +1058,10 @@
     assert_eq!(program.child.wait().unwrap().code(), Some(0));
 }
 
-/// Engines with always new ids at the addresses of gone ones, clients with always new ids and connections, some of which stay:
-/// what the program holds does not grow with how many there have been.
+/// Engines keep changing their ids on the same addresses, and clients keep opening connections and using new
+/// statement ids. Memory and descriptors do not grow with the number of past ones.
 #[test]
-fn the_program_holds_no_more_for_all_that_has_been() {
+fn program_memory_does_not_grow_with_past_engines_and_clients() {
     let engines = [Engine::well(), Engine::well()];
     let at: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     let (names, asked) = name_service(move |number, id| {
@@ -1064,48 +1076,49 @@
     let listen = nobody();
     (configuration["listen"], configuration["names"]) = (json!(listen.to_string()), json!(names.to_string()));
     configuration["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 128});
-    // Engines that start are warm at once here.
+    // Engines are warm as soon as they start in this test.
     configuration["settings"]["rules"] = json!({"coldUs": 1, "tipAfterUs": 1000});
-    let file = temporary("long.json");
+    let file = temporary_path("long.json");
     std::fs::write(&file, configuration.to_string()).unwrap();
-    let mut program = Program::start(&file);
+    let mut program = GatewayProcess::start(&file);
     program.wait("list of engines");
-    let held = |program: &Program| {
+    let memory_and_descriptors = |program: &GatewayProcess| {
         let proc = format!("/proc/{}", program.child.id());
         let status = std::fs::read_to_string(format!("{proc}/status")).unwrap();
         let rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         let kb: u64 = rss.trim().trim_end_matches(" kB").parse().unwrap();
         (kb, std::fs::read_dir(format!("{proc}/fd")).unwrap().count())
     };
-    let mut staying = std::collections::VecDeque::new();
-    let mut round = |from: u64| {
+    let mut open_connections = std::collections::VecDeque::new();
+    let mut run_round = |from: u64| {
         for id in from..from + 250 {
             let mut stream = TcpStream::connect(listen).unwrap();
             stream.set_read_timeout(Some(LONG)).unwrap();
             stream.write_all(call("read", id, 60_000, "").as_bytes()).unwrap();
             let mut read = BufReader::new(stream);
-            assert!(matches!(Answered::read(&mut read).status, 200 | 503));
-            staying.push_back(read);
-            if staying.len() > 200 {
-                staying.pop_front();
+            assert!(matches!(Response::read(&mut read).status, 200 | 503));
+            open_connections.push_back(read);
+            if open_connections.len() > 200 {
+                open_connections.pop_front();
             }
         }
         while asked.try_recv().is_ok() {}
         asked.recv_timeout(LONG).unwrap();
     };
-    round(0);
-    let (kb, _) = held(&program);
-    (1..6).for_each(|number| round(number * 1000));
-    let (later_kb, descriptors) = held(&program);
+    run_round(0);
+    let (kb, _) = memory_and_descriptors(&program);
+    (1..6).for_each(|number| run_round(number * 1000));
+    let (later_kb, descriptors) = memory_and_descriptors(&program);
     assert!(descriptors <= 128 && later_kb < kb + 2_000, "{descriptors} descriptors, {kb} kB, {later_kb} kB");
     program.signal("-TERM");
     assert_eq!(program.child.wait().unwrap().code(), Some(0));
     std::fs::remove_file(&file).unwrap();
 }
 
-/// The program itself: SIGTERM loses nothing and ends it with 0, and after a kill its address is free at once.
+/// On SIGTERM the program answers every statement and exits with 0; after a kill its address is available at
+/// once.
 #[test]
-fn the_program_ends_by_sigterm_and_starts_again_after_a_kill() {
+fn program_exits_on_sigterm_and_restarts_after_a_kill() {
     let gate = Arc::new(Mutex::new(false));
     let open = gate.clone();
     let engine = Engine::start(move |_| match *open.lock().unwrap() {
@@ -1113,17 +1126,17 @@
         false => answer(202, "", b""),
     });
     let listen = nobody();
-    let file = temporary("serve.json");
+    let file = temporary_path("serve.json");
     let mut configuration = configuration(&[engine.address]);
     configuration["listen"] = json!(listen.to_string());
     std::fs::write(&file, configuration.to_string()).unwrap();
     let start = || {
-        let program = Program::start(&file);
+        let program = GatewayProcess::start(&file);
         program.wait("serving");
         program
     };
     let ask = |id: u64| {
-        let asked = ask_aside(TcpStream::connect(listen).unwrap(), call("read", id, 60_000, ""));
+        let asked = ask_in_background(TcpStream::connect(listen).unwrap(), call("read", id, 60_000, ""));
         engine.wait(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
         asked
     };
--- a/crates/gateway/tests/many.rs
+++ b/crates/gateway/tests/many.rs
@@ -15,7 +15,7 @@
 struct Fleet {
     addresses: Vec<SocketAddr>,
     files: Vec<PathBuf>,
-    programs: Vec<Option<Program>>,
+    programs: Vec<Option<GatewayProcess>>,
 }
 
 impl Fleet {
@@ -28,7 +28,7 @@
             own["listen"] = json!(addresses[at].to_string());
             own["settings"]["balancers"] = json!(count);
             own["settings"]["rank"] = json!(at);
-            let file = temporary(&format!("{name}-{count}-{at}.json"));
+            let file = temporary_path(&format!("{name}-{count}-{at}.json"));
             std::fs::write(&file, own.to_string()).unwrap();
             file
         };
@@ -39,7 +39,7 @@
     /// From nothing, whatever ran under that number before.
     fn start(&mut self, at: usize) {
         self.programs[at] = None;
-        self.programs[at] = Some(Program::start(&self.files[at]));
+        self.programs[at] = Some(GatewayProcess::start(&self.files[at]));
     }
 
     /// How long each took until it said that it is ready, all of them started at once.
@@ -53,7 +53,7 @@
                 while began.elapsed() < Duration::from_secs(30) {
                     if let Ok(mut stream) = TcpStream::connect(address) {
                         stream.write_all(b"GET /status/live HTTP/1.1\r\nHost: h\r\n\r\n").unwrap();
-                        assert_eq!(Answered::read(&mut BufReader::new(stream)).status, 200);
+                        assert_eq!(Response::read(&mut BufReader::new(stream)).status, 200);
                         return began.elapsed();
                     }
                     std::thread::yield_now();
@@ -70,10 +70,10 @@
     }
 }
 
-fn ask(address: SocketAddr, id: u64) -> Answered {
+fn ask(address: SocketAddr, id: u64) -> Response {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.write_all(call("read", id, 60_000, "").as_bytes()).unwrap();
-    Answered::last(&mut BufReader::new(stream))
+    Response::read_final(&mut BufReader::new(stream))
 }
 
 /// Twenty gateways killed and started at once, with a name service that is down and no word from one another, are ready within 10 s,
--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -55,7 +55,7 @@
         assert!(call.method != "POST" || known == 3, "sent after {known} cancels");
         answer(200, "Page-Count: 1\r\n", format!("{known}\n").as_bytes())
     });
-    let served = Served::by(&one_at_a_time(&[well.address, ill.address]));
+    let served = TestGateway::start(&one_at_a_time(&[well.address, ill.address]));
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).body, json!({"values": [["3"]]}));
     assert_eq!((ill.posts(), well.posts()), (1, 1));
 }
@@ -82,7 +82,7 @@
     let well = Engine::well();
     let mut configuration = one_at_a_time(&[well.address, late.address]);
     configuration["settings"]["profiles"][0]["promiseUs"] = json!(400_000);
-    let served = Served::by(&configuration);
+    let served = TestGateway::start(&configuration);
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).body, json!({"values": [["late"]]}));
     assert_eq!((late.posts(), well.posts()), (1, 0));
 }
@@ -113,7 +113,7 @@
             assert!(call.method != "POST" || cancelled > 0, "sent while the other may be read");
             answer(200, "Page-Count: 1\r\n", b"well\n")
         });
-        let served = Served::by(&one_at_a_time(&[well.address, late.address]));
+        let served = TestGateway::start(&one_at_a_time(&[well.address, late.address]));
         let answered = served.ask(&call("read", 1, 3000, ""));
         assert_eq!(
             (late.posts(), well.posts()),
@@ -141,7 +141,7 @@
     });
     let mut configuration = configuration(&[slow.address]);
     configuration["settings"]["profiles"][0]["promiseUs"] = json!(6_000_000);
-    let served = Served::by(&configuration);
+    let served = TestGateway::start(&configuration);
     assert_eq!(served.ask(&call("read", 1, 6000, "")).body, json!({"values": [["late"]]}));
 }
 
@@ -188,7 +188,7 @@
     ];
     for (what, goes) in ways {
         let (well, fails) = (Engine::well(), Fails::start());
-        let served = Served::before(&[well.address, fails.engine.address]);
+        let served = TestGateway::in_front_of(&[well.address, fails.engine.address]);
         let streams: Vec<TcpStream> = (0..if what == "closes" { 12 } else { 1 })
             .map(|id| {
                 let mut stream = served.connect();
@@ -224,12 +224,13 @@
 fn nothing_begins_for_a_client_without_a_call_open() {
     for comes_back in [false, true] {
         let (well, fails) = (Engine::well(), Fails::start());
-        let served = Served::before(&[well.address, fails.engine.address]);
+        let served = TestGateway::in_front_of(&[well.address, fails.engine.address]);
         let mut stream = BufReader::new(served.connect());
         stream.get_mut().write_all(call("read", 1, 60_000, "").as_bytes()).unwrap();
-        let path = Answered::read(&mut stream).body["link"].as_str().unwrap().to_string();
+        let path = Response::read(&mut stream).body["link"].as_str().unwrap().to_string();
         drop(stream);
-        let again = comes_back.then(|| served.ask_aside(format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n")));
+        let again =
+            comes_back.then(|| served.ask_in_background(format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n")));
         fails.client_goes();
         let last = match again {
             Some(again) => again.join().unwrap(),
@@ -299,10 +300,10 @@
     let mut configuration = configuration(&[late.listener.local_addr().unwrap()]);
     configuration["settings"]["allowed"]["mayCancel"] = json!(false);
     configuration["settings"]["allowed"]["dialTimeoutUs"] = json!(20_000_000);
-    let served = Served::by(&configuration);
+    let served = TestGateway::start(&configuration);
     let mut stream = BufReader::new(served.connect());
     stream.get_mut().write_all(call("once", 1, 60_000, "").as_bytes()).unwrap();
-    let path = Answered::read(&mut stream).body["link"].as_str().unwrap().to_string();
+    let path = Response::read(&mut stream).body["link"].as_str().unwrap().to_string();
     assert_eq!(served.get("DELETE", &path).status, 204);
     assert_eq!(String::from_utf8_lossy(&late.take()), "");
 }
@@ -314,12 +315,12 @@
     let address = late.listener.local_addr().unwrap();
     let mut configuration = configuration(&[well.address, address]);
     configuration["settings"]["allowed"]["dialTimeoutUs"] = json!(20_000_000);
-    let served = Served::by(&configuration);
+    let served = TestGateway::start(&configuration);
     let mut stream = BufReader::new(served.connect());
     stream.get_mut().write_all(call("once", 1, 60_000, "").as_bytes()).unwrap();
     // A path tells that the dial is under way. It is made again a second after it began.
-    let path = Answered::read(&mut stream).body["link"].as_str().unwrap().to_string();
-    let asked = ask_aside(stream.into_inner(), format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n"));
+    let path = Response::read(&mut stream).body["link"].as_str().unwrap().to_string();
+    let asked = ask_in_background(stream.into_inner(), format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n"));
     let mut drained = configuration.clone();
     drained["known"]["no"] = json!(2);
     drained["known"]["items"][0]["roster"]["members"][1]["phase"] = json!("draining");
@@ -337,7 +338,7 @@
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(8).unwrap();
     let listener: TcpListener = socket.into();
-    let served = Served::before(&[listener.local_addr().unwrap()]);
+    let served = TestGateway::in_front_of(&[listener.local_addr().unwrap()]);
     let text = "SELECT note FROM sales_17.orders";
     let long = format!("{text}{}", " ".repeat(60_000));
     let call = call("read", 1, 60_000, "")
@@ -363,7 +364,7 @@
 #[test]
 fn a_bad_call_is_answered_once() {
     let engine = Engine::well();
-    let served = Served::before(&[engine.address]);
+    let served = TestGateway::in_front_of(&[engine.address]);
     let good = call("read", 1, 60_000, "");
     for bad in [
         good.replace("Content-Length: 32\r\n", ""),
@@ -387,13 +388,13 @@
     let mut configuration = configuration(&[engine.address]);
     configuration["limits"]["sockets"] = json!(128);
     let clients = config::read(&configuration, None, None).unwrap().bounds.clients;
-    let mut served = Served::by(&configuration);
+    let mut served = TestGateway::start(&configuration);
     let mut first = BufReader::new(served.connect());
     first.get_mut().write_all(call("read", 1, 60_000, "").as_bytes()).unwrap();
-    let path = Answered::read(&mut first).body["link"].as_str().unwrap().to_string();
+    let path = Response::read(&mut first).body["link"].as_str().unwrap().to_string();
     let back = format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n");
-    let mut held = vec![ask_aside(first.into_inner(), back.clone())];
-    held.extend((1..clients).map(|_| served.ask_aside(back.clone())));
+    let mut held = vec![ask_in_background(first.into_inner(), back.clone())];
+    held.extend((1..clients).map(|_| served.ask_in_background(back.clone())));
     // With a call open on each there is no room: this one waits.
     let mut waits = served.connect();
     waits.write_all(call("read", 2, 60_000, "").as_bytes()).unwrap();
@@ -415,12 +416,12 @@
     for at in 0..3 {
         configuration["settings"]["profiles"][at]["deadlineUs"] = json!(1_000_000);
     }
-    let mut served = Served::by(&configuration);
+    let mut served = TestGateway::start(&configuration);
     let mut resting: Vec<BufReader<TcpStream>> = (1..4)
         .map(|id| {
             let mut stream = BufReader::new(served.connect());
             stream.get_mut().write_all(call("read", id, 1000, "").as_bytes()).unwrap();
-            assert_eq!(Answered::read(&mut stream).status, 200);
+            assert_eq!(Response::read(&mut stream).status, 200);
             stream
         })
         .collect();
@@ -481,7 +482,7 @@
     let mut configuration = configuration(&[]);
     configuration["limits"]["sockets"] = json!(128);
     configuration["names"] = json!(names.to_string());
-    let served = Served::by(&configuration);
+    let served = TestGateway::start(&configuration);
     let idle: Vec<TcpStream> = (0..300).map(|_| served.connect()).collect();
     while asked.recv_timeout(LONG).unwrap() < 14 {}
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).status, 200);
@@ -493,14 +494,14 @@
 #[test]
 fn customers_are_kept_apart() {
     let (ours, theirs) = (Engine::well(), Engine::well());
-    let first = Served::before(&[ours.address]);
+    let first = TestGateway::in_front_of(&[ours.address]);
     let mut other = configuration(&[theirs.address]);
     let profiles = other["settings"]["profiles"].as_array_mut().unwrap();
     profiles.reverse();
     profiles[1]["name"] = json!("survey");
     profiles[1]["effect"] = json!("read_like");
     other["settings"]["tenants"] = json!([{"name": "umbra"}, {"name": "acme"}]);
-    let second = Served::by(&other);
+    let second = TestGateway::start(&other);
     let as_umbra = |id| call("survey", id, 60_000, "").replace("X-Org: acme", "X-Org: umbra");
     for id in 0..4 {
         assert_eq!(first.ask(&call("once", id, 60_000, "")).status, 200);
@@ -514,7 +515,7 @@
     mixed["known"]["no"] = json!(2);
     first.reload(mixed).unwrap();
     assert_eq!(first.ask(&as_umbra(30)).status, 404);
-    assert_eq!(first.ask(&call("load", 31, 60_000, KEY)).status, 200);
+    assert_eq!(first.ask(&call("load", 31, 60_000, KEY_HEADER)).status, 200);
     assert_eq!(first.ask(&call("load", 32, 60_000, "")).status, 400);
     let queues = |engine: &Engine| -> Vec<String> {
         engine.posted().iter().map(|post| post.headers["x-queue"].clone()).collect()
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -1,9 +1,9 @@
-//! The group of tables, from statements' texts.
+//! Table groups of statements.
 
 use bramblewharf_gateway::tables::group;
 
 #[test]
-fn the_group_is_the_number_of_the_schema() {
+fn table_group_is_the_number_in_the_schema_name() {
     for (text, found) in [
         ("SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day", Some(17)),
         ("select * from \"sales_4\".\"orders\"", Some(4)),
@@ -34,10 +34,10 @@
     assert_eq!(group(b"SELECT * FROM sales_15.t WHERE x = '\xff\xfe'"), Some(15));
 }
 
-/// However a text is cut, what is found in its beginning is what is found in all of it, and a long text says the same as a
-/// short one.
+/// Every prefix of a statement yields either the group of the whole statement or none, and a long statement
+/// yields the same group as a short one.
 #[test]
-fn the_beginning_of_a_text_says_nothing_wrong() {
+fn a_prefix_never_yields_a_wrong_table_group() {
     let texts = [
         "SELECT a FROM sales_17.orders, x_4.y WHERE b = 'from c_5.d' -- join e_6.f",
         "INSERT INTO x_5.sales_17 . orders VALUES (1, 'a')",
