--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -124,7 +124,7 @@
         let chunk = timeout_at(deadline.into(), payload.next()).await.map_err(|_| TOO_SLOW)?;
         let Some(chunk) = chunk else {
             if let Some(connection) = connection {
-                connection.has_come(READ_AHEAD_BYTES);
+                connection.call_received(READ_AHEAD_BYTES);
             }
             return join_chunks(chunks, length as usize).map(Received::Whole);
         };
@@ -139,7 +139,7 @@
         return Err(TOO_LARGE);
     }
     // From here on reading ahead is bounded by the flow control of actix-http's payload.
-    connection.into_iter().for_each(|connection| connection.allow(usize::MAX));
+    connection.into_iter().for_each(|connection| connection.set_read_allowance(usize::MAX));
     if core.rejects_new_statements() {
         return Ok(Received::NoCapacity);
     }
@@ -219,7 +219,7 @@
         if !self.validator.is_text() {
             return Err(NOT_TEXT);
         }
-        connection.into_iter().for_each(|connection| connection.has_come(READ_AHEAD_BYTES));
+        connection.into_iter().for_each(|connection| connection.call_received(READ_AHEAD_BYTES));
         let finished = self.body.finish().await;
         self.map_refusal(finished)
     }
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -1,14 +1,14 @@
 //! Runs the gateway on one thread: startup, the effects that the reducer asks for, reloads and shutdown.
 
-use crate::config::{self, AtStart, Bounds, Start};
+use crate::config::{self, Bounds, RestartOnlySettings, Start};
 use crate::connection::Connections;
-use crate::engines::{Engines, Heard, Job, May};
-use crate::fleet::{machine_time, Link};
+use crate::discovery::{EngineSnapshot, ListUpdate, NameServiceClient};
+use crate::engines::{Dispatch, EngineClient, ExecutionUpdate, SendGuards};
+use crate::fleet::{boottime_now, Link};
 use crate::frontend::Frontend;
 use crate::invariants::Invariant;
-use crate::names::{Asker, Known, Word};
 use crate::operators::{self, Bodies};
-use crate::peers::Peers;
+use crate::peers::PeerSocket;
 use crate::policy;
 use crate::record_file::{self, RecordFile};
 use crate::reducer::{Answer, Effect, Input, Part, Reducer, Text};
@@ -120,7 +120,7 @@
 #[derive(Default)]
 struct PendingReload {
     names: Option<Option<SocketAddr>>,
-    known: Option<Known>,
+    known: Option<EngineSnapshot>,
 }
 
 /// The reducer, and the state that its effects need.
@@ -148,10 +148,10 @@
     trace: Trace,
     /// Detects pauses of this process.
     pub standstill: Standstill,
-    engines: Engines,
-    peers: Option<Peers>,
+    engines: EngineClient,
+    peers: Option<PeerSocket>,
     fleet: Option<Link>,
-    policy: Option<policy::Disk>,
+    policy: Option<policy::PolicyFileWriter>,
     /// File that records which executions are in flight at engines.
     record: Option<RecordFile>,
     ignored_name_answers: Rc<Cell<u64>>,
@@ -214,8 +214,8 @@
         if let Some(link) = &self.fleet {
             // Facts are written before any effect that rests on the current state.
             let (now, mut reducer) = (self.clock.now(), self.reducer.borrow_mut());
-            let fact = reducer.policy().filter(|_| link.wants_facts()).map(|policy| policy.fact(now));
-            reducer.fleet().into_iter().for_each(|node| link.note(now, node, fact.as_ref()));
+            let fact = reducer.policy().filter(|_| link.has_facts_file()).map(|policy| policy.fact(now));
+            reducer.fleet().into_iter().for_each(|node| link.record_facts(now, node, fact.as_ref()));
         }
         effects.into_iter().for_each(|effect| self.run_effect(effect));
         self.faults.get() == faults
@@ -303,17 +303,17 @@
                         }
                         may_send
                     };
-                    let may_arrive = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
-                    let may = May { begin: &may_begin, arrive: &may_arrive };
-                    let job = Job { address, parcel: &parcel, mem_mb, until, may };
-                    let on_event = |event| {
+                    let may_complete = || core.reducer.borrow().may_arrive(core.clock.now(), &id, execution);
+                    let guards = SendGuards { may_begin: &may_begin, may_complete: &may_complete };
+                    let dispatch = Dispatch { address, parcel: &parcel, mem_mb, deadline: until, guards };
+                    let on_update = |update| {
                         let id = id.clone();
-                        core.input(match event {
-                            Heard::Arrived => Input::Arrived { id, execution },
-                            Heard::Note(note) => Input::Noted { id, execution, note },
+                        core.input(match update {
+                            ExecutionUpdate::Arrived => Input::Arrived { id, execution },
+                            ExecutionUpdate::Note(note) => Input::Noted { id, execution, note },
                         });
                     };
-                    let ending = core.engines.run(job, on_event).await;
+                    let ending = core.engines.run(dispatch, on_update).await;
                     core.running.borrow_mut().remove(&(id.clone(), execution));
                     if matches!(&parcel.text, Text::Body(body) if !body.is_kept()) {
                         core.input(Input::Unkept(id.clone()));
@@ -343,12 +343,13 @@
             Effect::Hear { address, name, within } => {
                 let core = self.clone();
                 actix_rt::spawn(async move {
-                    let has_read = core.engines.hear(address, &name, within).await;
+                    let has_read = core.engines.confirm_reads(address, &name, within).await;
                     core.input(Input::EngineHeard { has_read });
                 });
             }
             Effect::Keep { generation, bytes } => {
-                let outcome = self.policy.as_ref().map_or(Some(true), |disk| disk.keep(generation, bytes));
+                let outcome =
+                    self.policy.as_ref().map_or(Some(true), |disk| disk.write_state(generation, bytes));
                 if let Some(well) = outcome {
                     // In a task of its own, so that the remaining effects of this input come first.
                     let core = self.clone();
@@ -357,12 +358,12 @@
             }
             Effect::Say { to, envelope } => {
                 if let Some(link) = &self.fleet {
-                    link.say(&to, &envelope);
+                    link.send(&to, &envelope);
                 }
             }
             Effect::Tell { to, message } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &message);
+                    peers.send(to, &message);
                 }
             }
         }
@@ -385,7 +386,7 @@
     /// Passes on the messages of other gateways.
     async fn receive_from_peers(self: Rc<Self>) {
         while let Some(peers) = &self.peers {
-            let event = peers.hear().await;
+            let event = peers.receive().await;
             self.input(Input::Told(event));
         }
     }
@@ -393,14 +394,14 @@
     /// Passes on the messages of the fleet.
     async fn receive_from_fleet(self: Rc<Self>) {
         while let Some(link) = &self.fleet {
-            let (envelope, from) = link.hear().await;
+            let (envelope, from) = link.receive().await;
             self.input(Input::Fleet(envelope, from));
         }
     }
 
     /// Writes the status file for operators, where one is configured.
     fn write_status(&self) {
-        let Some(link) = self.fleet.as_ref().filter(|link| link.wants_status()) else { return };
+        let Some(link) = self.fleet.as_ref().filter(|link| link.has_status_file()) else { return };
         let now = self.clock.now();
         let mut reducer = self.reducer.borrow_mut();
         let policy = reducer.policy().map(|policy| policy.status(now));
@@ -410,7 +411,7 @@
     }
 
     /// Follows the engine list: from the name service, and from reloads of the configuration.
-    async fn follow_engine_list(self: Rc<Self>, mut asker: Asker) {
+    async fn follow_engine_list(self: Rc<Self>, mut name_service: NameServiceClient) {
         let mut previous: BTreeMap<Id, EngineState> = BTreeMap::new();
         loop {
             let update = tokio::select! {
@@ -418,30 +419,30 @@
                 () = self.reloaded.notified() => {
                     let PendingReload { names, known } = self.pending_reload.take();
                     if let Some(names) = names {
-                        asker.turn_to(names);
+                        name_service.set_server(names);
                         self.input(names.map_or(Input::ListStays, |_| Input::ListAsked(None)));
                     }
-                    match known.filter(|known| asker.told(known.no)) {
+                    match known.filter(|known| name_service.advance_to(known.serial)) {
                         // The list in a file may be out of date, so it does not count as a confirmation.
                         Some(known) => (known, None),
                         None => continue,
                     }
                 }
-                word = asker.change() => match word {
-                    Word::List(known, asked) => (known, Some(asked)),
-                    Word::Same(asked) => {
+                update = name_service.next_update() => match update {
+                    ListUpdate::List(known, asked) => (known, Some(asked)),
+                    ListUpdate::Unchanged(asked) => {
                         self.input(Input::ListAsked(Some(self.clock.time_of(asked))));
                         continue;
                     }
-                    Word::Disputed(known) => {
-                        self.input(Input::ListDisputed(known.list));
+                    ListUpdate::Disputed(known) => {
+                        self.input(Input::ListDisputed(known.engines));
                         continue;
                     }
-                    Word::Nothing => {
+                    ListUpdate::NoAnswer => {
                         self.input(Input::ListAsked(None));
                         continue;
                     }
-                    Word::Silent => {
+                    ListUpdate::Silent => {
                         self.input(Input::ListAsked(None));
                         self.input(Input::Engines(ListKind::Failed, Vec::new()));
                         continue;
@@ -449,13 +450,13 @@
                 },
             };
             let (known, asked) = update;
-            let entries = known.list.iter().map(|listed| (listed.entry.id.clone(), listed.entry.state));
+            let entries = known.engines.iter().map(|listed| (listed.entry.id.clone(), listed.entry.state));
             let current: BTreeMap<Id, EngineState> = entries.collect();
             let draining = current.values().filter(|state| **state == EngineState::Draining).count();
             let removed = previous.keys().filter(|id| !current.contains_key(*id)).count();
-            slog::info!(self.log, "list of engines"; "no" => known.no, "engines" => current.len(),
+            slog::info!(self.log, "list of engines"; "no" => known.serial, "engines" => current.len(),
                 "draining" => draining, "removed" => removed);
-            for listed in known.list.iter().filter(|l| previous.get(&l.entry.id) != Some(&l.entry.state)) {
+            for listed in known.engines.iter().filter(|l| previous.get(&l.entry.id) != Some(&l.entry.state)) {
                 self.trace.listed(
                     &listed.entry.id,
                     &format!("{:?}", listed.entry.state),
@@ -468,10 +469,10 @@
                 .for_each(|id| self.trace.listed(id, "Gone", None));
             previous = current;
             // Only a list that was applied completely counts as confirmed.
-            match (self.apply_input(Input::Engines(ListKind::Snapshot, known.list)), asked) {
+            match (self.apply_input(Input::Engines(ListKind::Snapshot, known.engines)), asked) {
                 (true, Some(asked)) => self.input(Input::ListAsked(Some(self.clock.time_of(asked)))),
                 (true, None) => {}
-                (false, _) => asker.not_taken(),
+                (false, _) => name_service.forget_serial(),
             }
         }
     }
@@ -481,13 +482,13 @@
         let mut reducer = self.reducer.borrow_mut();
         let unhealthy = reducer.take_ill();
         let mut broken = reducer.broken.clone();
-        broken.add(Invariant::ClosesAnswered, clients.closes.unanswered());
+        broken.add(Invariant::ClosesAnswered, clients.close_counts.unanswered());
         slog::info!(self.log, "figures"; "counts" => ?reducer.counts, "held" => reducer.held(),
             "open" => reducer.open(), "ill" => ?unhealthy, "bad_calls" => ?self.bad_calls.borrow(),
-            "refusals" => ?reducer.refusals, "closed" => ?clients.closes.counts(), "closed_to_engines" => ?self.engines.closes().counts(),
-            "asked_again" => self.engines.asked_again(), "names_passed_over" => self.ignored_name_answers.get(),
+            "refusals" => ?reducer.refusals, "closed" => ?clients.close_counts.counts(), "closed_to_engines" => ?self.engines.close_counts().counts(),
+            "asked_again" => self.engines.retried_calls(), "names_passed_over" => self.ignored_name_answers.get(),
             "list_age_ms" => self.list_confirmed.get().elapsed().as_millis() as u64,
-            "peers_passed_over" => self.peers.as_ref().map_or(0, Peers::passed_over),
+            "peers_passed_over" => self.peers.as_ref().map_or(0, PeerSocket::ignored_datagrams),
             "bodies" => ?self.bodies.counts(), "written" => ?self.bodies.spooled_bytes(),
             "bodies_fault" => self.bodies.take_last_error(),
             "connections" => self.engines.connections(), "faults" => self.faults.get(),
@@ -504,7 +505,7 @@
     address: SocketAddr,
     statement_time: Duration,
     /// Settings that only change with a restart.
-    at_start: AtStart,
+    at_start: RestartOnlySettings,
     bodies: Bodies,
     spool_directory: Option<Arc<SpoolDirectory>>,
     fleet: (Option<operators::Fleet>, BTreeMap<String, operators::Budget>),
@@ -544,7 +545,7 @@
             None => None,
             Some(peers) => {
                 let at = peers.listen;
-                let bound = Peers::bind(peers, start.site.gateway as usize).await;
+                let bound = PeerSocket::bind(peers, start.site.gateway as usize).await;
                 Some(bound.map_err(|e| with_address("peer_listen", &at, e))?)
             }
         };
@@ -555,17 +556,23 @@
                 Some(link.map_err(|e| with_address("fleet", &terms.listen, e))?)
             }
         };
-        let asker = Asker::start(start.names, start.known.no, start.seed, log.clone())?;
-        let in_force = RefCell::new((start.names, start.peers.clone()));
-        let source = start.fleet.is_some().then(|| clock.unwrap_or_else(|| Rc::new(machine_time)));
+        let name_service = NameServiceClient::start(
+            start.name_service,
+            start.cached_engines.serial,
+            start.seed,
+            log.clone(),
+        )?;
+        let in_force = RefCell::new((start.name_service, start.peers.clone()));
+        let source = start.fleet.is_some().then(|| clock.unwrap_or_else(|| Rc::new(boottime_now)));
         let clock = Clock::new(source);
         let (one_at_a_time, idle) = (!start.site.concurrent_executions, start.engine_idle);
-        let (bounds, names) = (start.bounds.clone(), start.words.clone());
-        let engines = Engines::new(bounds, names, start.dial_timeout, idle, one_at_a_time);
+        let (bounds, names) = (start.bounds.clone(), start.site_names.clone());
+        let engines = EngineClient::new(bounds, names, start.dial_timeout, idle, one_at_a_time);
         let deduplicated = |w: &WorkloadConfig| matches!(w.effect, Repeat::Deduplicated(_));
         let requires_key = start.site.workloads.iter().map(deduplicated).collect();
         let (bodies, spool_directory) = open_body_store(&start.operators.bodies, disk, &log)?;
-        let strict = start.words.workloads.iter().map(|w| start.operators.bodies.is_strict(w)).collect();
+        let strict =
+            start.site_names.workloads.iter().map(|w| start.operators.bodies.rejects_not_kept(w)).collect();
         let (min_bytes_per_second, retry_after) =
             (start.operators.bodies.slowest.as_u64(), start.site.max_retry_after);
         let policy_terms = start.fleet.as_ref().and_then(|terms| terms.policy.clone());
@@ -574,7 +581,7 @@
                 if let Some(fault) = &terms.fault {
                     slog::error!(log, "what was kept of the policy is not read"; "fault" => fault);
                 }
-                let (disk, writes) = policy::Disk::start(terms.file.clone())?;
+                let (disk, writes) = policy::PolicyFileWriter::start(terms.file.clone())?;
                 (Some(disk), Some(writes))
             }
             None => (None, None),
@@ -613,8 +620,8 @@
             reducer: RefCell::new(reducer),
             clock,
             bounds: start.bounds,
-            names: start.words,
-            max_client_waits: start.longest,
+            names: start.site_names,
+            max_client_waits: start.deadlines,
             requires_key,
             strict,
             min_bytes_per_second,
@@ -628,8 +635,8 @@
             fleet,
             policy,
             record,
-            ignored_name_answers: asker.passed_over.clone(),
-            list_confirmed: asker.heard(),
+            ignored_name_answers: name_service.ignored_answers.clone(),
+            list_confirmed: name_service.last_confirmed(),
             next_caller: Cell::new(0),
             pending_answers: RefCell::default(),
             running: RefCell::default(),
@@ -642,8 +649,8 @@
             closed: Cell::new(false),
         });
         first_effects.into_iter().for_each(|effect| core.run_effect(effect));
-        core.input(Input::Engines(ListKind::Cached, start.known.list));
-        if start.names.is_some() {
+        core.input(Input::Engines(ListKind::Cached, start.cached_engines.engines));
+        if start.name_service.is_some() {
             // The list in the configuration counts as confirmed at the start.
             core.input(Input::ListAsked(Some(core.clock.now())));
         }
@@ -654,7 +661,7 @@
             actix_rt::spawn(core.clone().run_timers()),
             actix_rt::spawn(core.clone().receive_from_peers()),
         ];
-        tasks.push(actix_rt::spawn(core.clone().follow_engine_list(asker)));
+        tasks.push(actix_rt::spawn(core.clone().follow_engine_list(name_service)));
         if core.fleet.is_some() {
             tasks.push(actix_rt::spawn(core.clone().receive_from_fleet()));
         }
@@ -682,8 +689,8 @@
                 sleep(SWEEP_INTERVAL).await;
                 // No connection is closed as idle while data that came during a pause is unread.
                 swept_core.wait_for_backlog().await;
-                swept_frontend.connections.sweep();
-                swept_core.engines.sweep();
+                swept_frontend.connections.close_idle();
+                swept_core.engines.close_idle();
                 swept_core.write_status();
                 if logged.elapsed() >= FIGURES_INTERVAL {
                     logged = Instant::now();
@@ -691,7 +698,7 @@
                 }
             }
         }));
-        let (statement_time, at_start) = (start.leave_within, start.at_start);
+        let (statement_time, at_start) = (start.shutdown_timeout, start.restart_only);
         let (bodies, fleet) = (start.operators.bodies, (start.operators.fleet, start.operators.budget));
         Ok(Gateway {
             core,
@@ -715,10 +722,10 @@
         let mut in_force = self.in_force.borrow_mut();
         let (names, peers) = &*in_force;
         let mut pending_reload = self.core.pending_reload.borrow_mut();
-        if start.names != *names {
-            pending_reload.names = Some(start.names);
+        if start.name_service != *names {
+            pending_reload.names = Some(start.name_service);
         }
-        let mut waits_for_restart = self.at_start.changed(&start.at_start);
+        let mut waits_for_restart = self.at_start.changed(&start.restart_only);
         // Whether gossip is exchanged at all is fixed at the start.
         if peers.is_some() != start.peers.is_some() && !waits_for_restart.contains(&"peer_listen") {
             waits_for_restart.push("peers");
@@ -726,19 +733,19 @@
         // The limits of the body store change at once; its directory and threads change with a restart.
         let bodies = &start.operators.bodies;
         self.core.bodies.set_bounds(bodies.bounds());
-        if self.bodies != *bodies && !self.bodies.is_alike(bodies) {
+        if self.bodies != *bodies && !self.bodies.is_unchanged_until_restart(bodies) {
             waits_for_restart.push("bodies");
         }
         if self.fleet != (start.operators.fleet, start.operators.budget) {
             waits_for_restart.push("fleet");
         }
         if let (Some(running), Some(peers)) = (&self.core.peers, &start.peers) {
-            running.turn_to(peers.clone());
+            running.set_addresses(peers.clone());
         }
-        slog::info!(log, "configuration reloaded"; "names" => ?start.names, "known" => start.known.no,
+        slog::info!(log, "configuration reloaded"; "names" => ?start.name_service, "known" => start.cached_engines.serial,
             "waits_for_restart" => ?waits_for_restart);
-        *in_force = (start.names, start.peers);
-        pending_reload.known = Some(start.known);
+        *in_force = (start.name_service, start.peers);
+        pending_reload.known = Some(start.cached_engines);
         self.core.reloaded.notify_one();
     }
 
@@ -788,7 +795,7 @@
         for _ in 0..3 {
             self.core.input(Input::Depart);
         }
-        self.frontend.connections.part_from_all();
+        self.frontend.connections.close_all_at_shutdown();
         let drain_began = Instant::now();
         while self.frontend.connections.linger.count() > 0
             && drain_began.elapsed() < CONNECTION_DRAIN_TIME
@@ -842,7 +849,7 @@
     disk: Option<Arc<dyn Disk>>,
     log: &Logger,
 ) -> io::Result<(Rc<BodyStore>, Option<Arc<SpoolDirectory>>)> {
-    let files = bodies.files.as_ref().filter(|_| bodies.is_on());
+    let files = bodies.files.as_ref().filter(|_| bodies.is_enabled());
     let threads = files.map(|files| -> io::Result<_> {
         if let Some(disk) = disk {
             return Ok((None, IoThreads::start(disk, files.threads, files.zstd)?));
--- a/crates/gateway/src/upload.rs
+++ b/crates/gateway/src/upload.rs
@@ -110,7 +110,7 @@
             }
             if !self.stop_signal.stopped.get()
                 && !self.progress.finished.get()
-                && self.connection.answers_early()
+                && self.connection.check_early_answer()
             {
                 self.stop_signal.stopped.set(true);
                 self.progress.last_activity.set(std::time::Instant::now());
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,14 +1,14 @@
 //! A gateway that runs in a thread of its own, and clients that send calls to it.
 #![allow(dead_code)]
 
-pub mod names;
+pub mod name_service;
 pub mod program;
 
 use bramblewharf_bodies::accounting::Counts;
 use bramblewharf_bodies::spool::Disk;
-use bramblewharf_gateway::operators::Operators;
+use bramblewharf_gateway::operators::OperatorSettings;
 use bramblewharf_gateway::{config, Gateway};
-use bramblewharf_standins::{read_message, LONG};
+use bramblewharf_standins::{read_message, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -46,7 +46,7 @@
 /// A running gateway, and the channels to its thread.
 pub struct TestGateway {
     pub address: SocketAddr,
-    pub reloads: tokio::sync::mpsc::UnboundedSender<(Value, Operators)>,
+    pub reloads: tokio::sync::mpsc::UnboundedSender<(Value, OperatorSettings)>,
     pub counts: tokio::sync::mpsc::UnboundedSender<mpsc::Sender<Counts>>,
     pub stop: Option<tokio::sync::oneshot::Sender<()>>,
     pub thread: Option<JoinHandle<()>>,
@@ -55,19 +55,19 @@
 impl TestGateway {
     /// Starts a gateway without operator settings.
     pub fn start(configuration: &Value) -> TestGateway {
-        TestGateway::start_with(configuration, Operators::default(), None)
+        TestGateway::start_with(configuration, OperatorSettings::default(), None)
     }
 
     /// Starts a gateway with operator settings and, where given, a disk for body files.
     pub fn start_with(
         configuration: &Value,
-        operators: Operators,
+        operators: OperatorSettings,
         disk: Option<Arc<dyn Disk>>,
     ) -> TestGateway {
         let configuration = configuration.clone();
         let (address_sender, address) = mpsc::channel();
         let (stop, mut stopped) = tokio::sync::oneshot::channel::<()>();
-        let (reloads, mut reloaded) = tokio::sync::mpsc::unbounded_channel::<(Value, Operators)>();
+        let (reloads, mut reloaded) = tokio::sync::mpsc::unbounded_channel::<(Value, OperatorSettings)>();
         let (counts, mut count_requests) = tokio::sync::mpsc::unbounded_channel::<mpsc::Sender<Counts>>();
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(async {
@@ -93,14 +93,14 @@
 
     /// Reloads the gateway with another configuration.
     pub fn reload(&self, configuration: Value) -> Result<(), ()> {
-        self.reloads.send((configuration, Operators::default())).map_err(drop)
+        self.reloads.send((configuration, OperatorSettings::default())).map_err(drop)
     }
 
     /// Counters of bodies beyond the ordinary size.
     pub fn body_counts(&self) -> Counts {
         let (reply, counts) = mpsc::channel();
         self.counts.send(reply).unwrap();
-        counts.recv_timeout(LONG).unwrap()
+        counts.recv_timeout(TEST_TIMEOUT).unwrap()
     }
 
     /// Waits until the condition holds for the counters.
@@ -111,7 +111,7 @@
             if condition(&counts) {
                 return counts;
             }
-            assert!(began.elapsed() < LONG, "{what}: {counts:?}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "{what}: {counts:?}");
             std::thread::yield_now();
         }
     }
@@ -130,7 +130,7 @@
     /// A new client connection.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         stream
     }
@@ -157,7 +157,7 @@
 
 /// Sends a call on this connection; the thread returns its final response.
 pub fn ask_in_background(mut stream: TcpStream, call: String) -> JoinHandle<Response> {
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(call.as_bytes()).unwrap();
     std::thread::spawn(move || Response::read_final(&mut BufReader::new(stream)))
 }
--- a/crates/gateway/tests/common/program.rs
+++ b/crates/gateway/tests/common/program.rs
@@ -1,6 +1,6 @@
 //! The gateway's program, run as a child process.
 
-use bramblewharf_standins::LONG;
+use bramblewharf_standins::TEST_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::sync::mpsc;
 
@@ -32,7 +32,7 @@
     /// Waits for the next line of the log that contains `pattern`.
     pub fn wait(&self, pattern: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(LONG).expect(pattern);
+            let line = self.lines.recv_timeout(TEST_TIMEOUT).expect(pattern);
             if line.contains(pattern) {
                 return line;
             }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -3,11 +3,11 @@
 
 mod common;
 use bramblewharf_gateway::config;
-use bramblewharf_gateway::names::{read_answer, Asker, Word};
-use bramblewharf_standins::{answer, nobody, read_message, Call, Engine, Reply, LONG};
+use bramblewharf_gateway::discovery::{read_answer, ListUpdate, NameServiceClient};
+use bramblewharf_standins::{answer, read_message, unused_address, Call, Engine, Reply, TEST_TIMEOUT};
 use bramblewharf_turns::message::Observation;
 use bramblewharf_turns::{EngineHash, GossipMessage};
-use common::names::*;
+use common::name_service::*;
 use common::program::*;
 use common::*;
 use hickory_proto::op::Message;
@@ -39,7 +39,7 @@
     let rows = |n: usize| [json!([n.to_string(), "q\"\\/\u{1}", "zwölf"]), json!([format!("{n}b"), "", " "])];
     let all: Vec<Value> = (0..3).flat_map(rows).collect();
     assert_eq!(response.body, json!({ "values": all }));
-    let sent = engine.wait(|call| call.method == "POST");
+    let sent = engine.wait_for_call(|call| call.method == "POST");
     assert_eq!((sent.path.as_str(), &sent.body[..]), ("/x", &b"SELECT note FROM sales_17.orders"[..]));
     for (name, value) in [
         ("x-ticket", "0000000000abcdef"),
@@ -49,14 +49,14 @@
         assert_eq!(sent.headers.get(name).map(String::as_str), Some(value));
     }
     assert!((1..=60_000).contains(&sent.headers["x-max-ms"].parse::<u64>().unwrap()));
-    engine.wait(|call| call.path == "/x/0000000000abcdef/2");
+    engine.wait_for_call(|call| call.path == "/x/0000000000abcdef/2");
 }
 
 #[test]
 fn only_answers_that_prove_no_execution_are_retried() {
-    let healthy = Engine::well();
+    let healthy = Engine::healthy();
     // The subset starts one past the first engine, so the failing engine is tried first.
-    let gateway = TestGateway::in_front_of(&[healthy.address, nobody()]);
+    let gateway = TestGateway::in_front_of(&[healthy.address, unused_address()]);
     assert_eq!(gateway.ask(&call("once", 1, 60_000, "")).status, 200);
     type Script = fn(&Call) -> Reply;
     let broken: [(Script, bool); 5] = [
@@ -67,11 +67,11 @@
         (|call| if call.method == "POST" { Reply::Reset } else { answer(500, "", b"") }, false),
     ];
     for (at, (script, never_ran)) in broken.into_iter().enumerate() {
-        let (healthy, faulty) = (Engine::well(), Engine::start(script));
+        let (healthy, faulty) = (Engine::healthy(), Engine::start(script));
         let gateway = TestGateway::in_front_of(&[healthy.address, faulty.address]);
         let response = gateway.ask(&call("once", 1, 60_000, ""));
         assert_eq!(response.status, if never_ran { 200 } else { 500 }, "case {at}: {}", response.body);
-        assert_eq!((faulty.posts(), healthy.posts()), (1, usize::from(never_ran)), "case {at}");
+        assert_eq!((faulty.post_count(), healthy.post_count()), (1, usize::from(never_ran)), "case {at}");
         // An idempotent statement is retried in every case.
         assert_eq!(gateway.ask(&call("read", 2, 60_000, "")).status, 200, "case {at}");
     }
@@ -104,11 +104,11 @@
         },
     ];
     for (at, script) in faulty.into_iter().enumerate() {
-        let (healthy, faulty) = (Engine::well(), Engine::start(script));
+        let (healthy, faulty) = (Engine::healthy(), Engine::start(script));
         let gateway = TestGateway::in_front_of(&[healthy.address, faulty.address]);
         let response = gateway.ask(&call("read", 1, 60_000, ""));
         assert_eq!(response.body, json!({"values": [["well", "1", "x"]]}), "case {at}");
-        assert_eq!((faulty.posts(), healthy.posts()), (1, 1), "case {at}");
+        assert_eq!((faulty.post_count(), healthy.post_count()), (1, 1), "case {at}");
     }
 }
 
@@ -163,7 +163,7 @@
             let gateway = TestGateway::in_front_of(&[engine.address]);
             let response = gateway.ask(&call("once", 1, 60_000, ""));
             let rows = json!({"values": [["a", "1", "x"], ["b", "2", "y"]]});
-            assert_eq!((engine.posts(), response.body), (1, rows), "case {at} at {bad_path}");
+            assert_eq!((engine.post_count(), response.body), (1, rows), "case {at} at {bad_path}");
         }
     }
 }
@@ -180,7 +180,7 @@
     for id in [1, 2] {
         assert_eq!(gateway.ask(&call("once", id, 60_000, "")).body, json!({"values": [["done"]]}));
         let ticket = format!("{id:016x}");
-        engine.wait(|call| call.method == "CLOSED" && call.headers.get("x-ticket") == Some(&ticket));
+        engine.wait_for_call(|call| call.method == "CLOSED" && call.headers.get("x-ticket") == Some(&ticket));
     }
     let calls: Vec<String> = engine.calls.0.lock().unwrap().iter().map(|call| call.method.clone()).collect();
     assert_eq!(calls[calls.len() - 3..], ["POST", "GET", "CLOSED"]);
@@ -208,7 +208,7 @@
             let response = gateway.ask(&call("once", id, 60_000, ""));
             assert_eq!(response.body, json!({"values": [[format!("{id:016x}")]]}));
         }
-        assert_eq!(engine.posts(), 30);
+        assert_eq!(engine.post_count(), 30);
     }
 }
 
@@ -230,8 +230,8 @@
         let response = gateway.ask(&call("once", 1, 300, ""));
         assert_eq!((response.status, response.body), (500, json!({"abort": "Failed"})));
         assert!(before.elapsed() >= Duration::from_millis(290));
-        engine.wait(|call| call.method == "DELETE" && call.path == "/x/0000000000000001");
-        assert_eq!(engine.posts(), 1);
+        engine.wait_for_call(|call| call.method == "DELETE" && call.path == "/x/0000000000000001");
+        assert_eq!(engine.post_count(), 1);
     }
 }
 
@@ -253,7 +253,7 @@
     });
     let gateway = TestGateway::in_front_of(&[engine.address]);
     assert_eq!(gateway.ask(&call("once", 1, 60_000, "")).body, json!({"values": [["late"]]}));
-    assert_eq!(engine.posts(), 1);
+    assert_eq!(engine.post_count(), 1);
 }
 
 #[test]
@@ -262,9 +262,9 @@
     let gateway = TestGateway::in_front_of(&[engine.address]);
     let mut stream = gateway.connect();
     stream.write_all(call("read", 9, 60_000, "").as_bytes()).unwrap();
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     drop(stream);
-    engine.wait(|call| call.method == "DELETE" && call.path == "/x/0000000000000009");
+    engine.wait_for_call(|call| call.method == "DELETE" && call.path == "/x/0000000000000009");
 }
 
 /// A client that closes only its sending side counts as disconnected, but still gets a response.
@@ -288,7 +288,7 @@
 
 #[test]
 fn bad_calls_are_rejected_and_never_reach_an_engine() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let gateway = TestGateway::in_front_of(&[engine.address]);
     let good = call("read", 1, 60_000, "");
     let long = "x".repeat(80_000);
@@ -351,7 +351,7 @@
 /// clients are served meanwhile, however many such clients there are.
 #[test]
 fn silent_clients_cannot_hold_connections() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
     configuration["limits"]["sockets"] = json!(128);
     let gateway = TestGateway::start(&configuration);
@@ -420,7 +420,7 @@
     });
     let gateway = TestGateway::in_front_of(&[engine.address]);
     let held = gateway.ask_in_background(call("once", 7, 60_000, ""));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     let other = call("once", 7, 60_000, "").replace("SELECT note", "DELETE many");
     assert_eq!(gateway.ask(&other).status, 409);
     for method in ["GET", "DELETE"] {
@@ -428,7 +428,7 @@
     }
     *open.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
-    assert_eq!(engine.posts(), 1);
+    assert_eq!(engine.post_count(), 1);
 }
 
 /// A long statement gets a path to poll. Neither a broken connection nor a repeated poll loses its answer,
@@ -451,7 +451,7 @@
     };
     let deleted = |id: u64| {
         let path = format!("/x/{id:016x}");
-        engine.wait(move |call| call.method == "DELETE" && call.path == path);
+        engine.wait_for_call(move |call| call.method == "DELETE" && call.path == path);
     };
     let given_up = path(1);
     assert_eq!(gateway.get("DELETE", &given_up).status, 204);
@@ -496,7 +496,7 @@
     let mut held = Vec::new();
     for id in 0..bounds.stmts as u64 {
         held.push(gateway.ask_in_background(call("read", id, 60_000, "")));
-        engine.wait(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
+        engine.wait_for_call(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
     }
     let rejected = gateway.ask(&call("read", 99, 60_000, ""));
     assert!(rejected.headers["x-pushback-ms"].parse::<u64>().unwrap() <= 2000);
@@ -535,7 +535,7 @@
             None => answer(200, "Page-Count: 1\r\n", b"ill\t1\tx\n"),
         }
     });
-    let healthy = Engine::well();
+    let healthy = Engine::healthy();
     let gateway = TestGateway::in_front_of(&[healthy.address, faulty.address]);
     for (id, noise) in noise.into_iter().enumerate() {
         let mut stream = gateway.connect();
@@ -552,7 +552,7 @@
 /// engine gets it exactly once, well formed, if there is a result, and otherwise not at all.
 #[test]
 fn mutated_calls_are_rejected_or_executed_as_sent() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
     // Enough engine capacity not to limit this test.
     configuration["settings"]["domain"]["sizeCores"] = json!([10_000]);
@@ -604,7 +604,7 @@
 
 #[test]
 fn fragmented_and_pipelined_calls_are_answered() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let gateway = TestGateway::in_front_of(&[engine.address]);
     let mut stream = gateway.connect();
     let both = call("read", 1, 60_000, "") + &call("read", 2, 60_000, "");
@@ -630,10 +630,10 @@
     });
     let mut gateway = TestGateway::in_front_of(&[engine.address]);
     let held = gateway.ask_in_background(call("read", 1, 60_000, ""));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     gateway.stop.take().unwrap().send(()).unwrap();
     let late = gateway.ask_in_background(call("read", 2, 60_000, ""));
-    engine.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
+    engine.wait_for_call(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
     *open.lock().unwrap() = true;
     for asked in [held, late] {
         assert_eq!(asked.join().unwrap().body, json!({"values": [["done"]]}));
@@ -648,7 +648,7 @@
     let engine = Engine::start(|_| answer(202, "", b""));
     let mut gateway = TestGateway::in_front_of(&[engine.address]);
     let held = gateway.ask_in_background(call("once", 1, 60_000, ""));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
     gateway.stop.take().unwrap().send(()).unwrap();
     assert_eq!(held.join().unwrap().body, json!({"abort": "Failed"}));
     gateway.thread.take().unwrap().join().unwrap();
@@ -656,7 +656,7 @@
 
 #[test]
 fn engine_list_follows_the_name_service_and_ignores_forged_answers() {
-    let healthy = Engine::well();
+    let healthy = Engine::healthy();
     let address = healthy.address;
     let (names, asked) = name_service(move |number, id| match number {
         // An answer with another id and one without a complete list: both are ignored.
@@ -668,10 +668,10 @@
     let gateway = TestGateway::start(&configuration);
     // A second query shows that the first answers were ignored, a third that the answer to the second was
     // applied.
-    while asked.recv_timeout(LONG).unwrap() < 1 {}
-    while asked.recv_timeout(LONG).unwrap() < 2 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 1 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 2 {}
     assert_eq!(gateway.ask(&call("read", 2, 60_000, "")).status, 200);
-    assert_eq!(healthy.posts(), 1);
+    assert_eq!(healthy.post_count(), 1);
 }
 
 /// After a reload the list follows the new name service from its serial number on, and statements are not
@@ -684,7 +684,7 @@
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let second = Engine::well();
+    let second = Engine::healthy();
     let (at_first, at_second) = (first.address, second.address);
     let (old, _asked) = name_service(move |_, id| vec![list_answer(id, 5, &[("a", at_first, 0)])]);
     // The new service first answers with an older list, which is ignored.
@@ -702,14 +702,14 @@
     }
     *open.lock().unwrap() = false;
     let held = gateway.ask_in_background(call("once", 900, 60_000, ""));
-    first.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with("384")));
+    first.wait_for_call(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with("384")));
     for _ in 0..3 {
-        configuration["names"] = json!(nobody().to_string());
+        configuration["names"] = json!(unused_address().to_string());
         gateway.reload(configuration.clone()).unwrap();
         configuration["names"] = json!(new.to_string());
         gateway.reload(configuration.clone()).unwrap();
     }
-    while asked.recv_timeout(LONG).unwrap() < 3 {}
+    while asked.recv_timeout(TEST_TIMEOUT).unwrap() < 3 {}
     assert_eq!(gateway.ask(&call("once", 901, 60_000, "")).body, json!({"values": [["well", "1", "x"]]}));
     // A newer list in the file itself is applied too, an older one is not.
     let on_file = |no: u64, engine: SocketAddr| {
@@ -721,25 +721,25 @@
     assert_eq!(gateway.ask(&call("once", 902, 60_000, "")).status, 200);
     *open.lock().unwrap() = true;
     assert_eq!(held.join().unwrap().body, json!({"values": [["done"]]}));
-    assert_eq!(second.posts(), 2);
+    assert_eq!(second.post_count(), 2);
 }
 
 /// Stale lists are ignored for longer than a faulty name service has been seen to send them.
 #[test]
 fn lists_with_earlier_serial_numbers_are_ignored() {
-    let address = nobody();
+    let address = unused_address();
     let (names, _asked) = name_service(move |number, id| {
         let serial = [5, 3, 5].get(number).copied().unwrap_or(if number < 29 { 4 } else { 7 });
         vec![list_answer(id, serial, &[("x", address, 1)])]
     });
     actix_rt::System::new().block_on(async {
-        let mut asker = asker(names, 1);
+        let mut client = client(names, 1);
         // More than a second without a usable answer is reported, and so is the recovery.
         for wanted in [Some(5), None, Some(7)] {
-            let word = news(&mut asker).await;
+            let word = news(&mut client).await;
             assert!(
-                matches!((&word, wanted), (Word::Silent, None))
-                    || matches!((&word, wanted), (Word::List(known, _), Some(no)) if known.no == no),
+                matches!((&word, wanted), (ListUpdate::Silent, None))
+                    || matches!((&word, wanted), (ListUpdate::List(known, _), Some(no)) if known.serial == no),
                 "{word:?}"
             );
         }
@@ -748,38 +748,41 @@
 
 /// The next report of a change, skipping unchanged lists, missing answers and lists with an earlier serial
 /// number.
-async fn news(asker: &mut Asker) -> Word {
+async fn news(client: &mut NameServiceClient) -> ListUpdate {
     loop {
-        let word = tokio::time::timeout(LONG, asker.change()).await.unwrap();
+        let word = tokio::time::timeout(TEST_TIMEOUT, client.next_update()).await.unwrap();
         match word {
-            Word::Same(_) | Word::Nothing => {}
-            Word::Disputed(known) => assert!([3, 4].contains(&known.no), "{known:?}"),
+            ListUpdate::Unchanged(_) | ListUpdate::NoAnswer => {}
+            ListUpdate::Disputed(known) => assert!([3, 4].contains(&known.serial), "{known:?}"),
             news => return news,
         }
     }
 }
 
-fn asker(names: SocketAddr, no: u64) -> Asker {
+fn client(names: SocketAddr, no: u64) -> NameServiceClient {
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    Asker::start(Some(names), no, 7, log).unwrap()
+    NameServiceClient::start(Some(names), no, 7, log).unwrap()
 }
 
 /// Silence of the name service is reported once, and the first answer after it is reported even if the list
 /// is unchanged.
 #[test]
 fn name_service_silence_and_recovery_are_reported() {
-    let address = nobody();
+    let address = unused_address();
     let (names, _asked) = name_service(move |number, id| match number {
         0 | 24.. => vec![list_answer(id, 5, &[("x", address, 0)])],
         _ => Vec::new(),
     });
     actix_rt::System::new().block_on(async {
-        let mut asker = asker(names, 5);
+        let mut client = client(names, 5);
         let mut words = Vec::new();
         while words.len() < 2 {
-            words.push(news(&mut asker).await);
+            words.push(news(&mut client).await);
         }
-        assert!(matches!(&words[..], [Word::Silent, Word::List(known, _)] if known.no == 5), "{words:?}");
+        assert!(
+            matches!(&words[..], [ListUpdate::Silent, ListUpdate::List(known, _)] if known.serial == 5),
+            "{words:?}"
+        );
     });
 }
 
@@ -791,9 +794,9 @@
     let whole = list_answer(1, 41, &[one, two]);
     // Encoded and decoded, as names are compressed in the wire format.
     let known = read_answer(&Message::from_vec(&whole.to_vec().unwrap()).unwrap(), &service).unwrap();
-    assert_eq!(known.no, 41);
+    assert_eq!(known.serial, 41);
     let shown: Vec<String> = known
-        .list
+        .engines
         .iter()
         .map(|l| {
             let e = &l.entry;
@@ -823,7 +826,7 @@
 fn loads_are_gossiped_and_unknown_senders_are_ignored() {
     let engine = Engine::start(|_| answer(202, "", b""));
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
-    other.set_read_timeout(Some(LONG)).unwrap();
+    other.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut configuration = configuration(&[engine.address]);
     configuration["peer_listen"] = json!(own.to_string());
@@ -846,12 +849,12 @@
     let mut bytes = [0; 300];
     let (length, from) = other.recv_from(&mut bytes).unwrap();
     assert_eq!((&bytes[..length], from), (&loads_message(1)[..], own));
-    engine.wait(|call| call.method == "POST");
+    engine.wait_for_call(|call| call.method == "POST");
 }
 
 #[test]
 fn configuration_errors_name_the_key() {
-    let mut good = configuration(&[nobody()]);
+    let mut good = configuration(&[unused_address()]);
     good["settings"]["allowed"]["maxOpen"] = json!(1000);
     good["settings"]["allowed"]["dialTimeoutUs"] = json!(250_000);
     (good["peer_listen"], good["peers"]) = (json!("127.0.0.1:7946"), json!(["127.0.0.1:7946"]));
@@ -875,7 +878,7 @@
         ),
         ("/settings/profiles/1/deadlineUs", json!(-1), "settings.profiles[1].deadlineUs: -1 is not"),
         ("/peers", json!({}), "peers: {} is not a list"),
-        ("/known/no", json!("one"), "known.no: is not a whole number"),
+        ("/known/no", json!("one"), "known.serial: is not a whole number"),
         (
             "/known/items/0/roster/members/0/host_port",
             json!("x"),
@@ -952,7 +955,7 @@
     let dir = temporary_path("bodies");
     std::fs::create_dir(&dir).unwrap();
     let (file, settings) = (dir.join("gateway.json"), dir.join("gateway.hcl"));
-    let listen = nobody();
+    let listen = unused_address();
     let mut configuration = configuration(&[engine.address]);
     configuration["listen"] = json!(listen.to_string());
     std::fs::write(&file, configuration.to_string()).unwrap();
@@ -984,7 +987,7 @@
     let (mut killed, line) = start();
     assert!(line.contains("removed: 0"), "{line}");
     let lost = ask_in_background(TcpStream::connect(listen).unwrap(), load(1));
-    engine.wait(|call| call.method == "POST" && call.body.len() == text.len());
+    engine.wait_for_call(|call| call.method == "POST" && call.body.len() == text.len());
     assert_eq!(folders(), 2);
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
@@ -997,7 +1000,7 @@
     again.signal("-HUP");
     assert!(again.wait("configuration not reloaded").contains("gateway.hcl:"));
     let held = ask_in_background(TcpStream::connect(listen).unwrap(), load(2));
-    engine.wait(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
+    engine.wait_for_call(|call| call.headers.get("x-ticket").is_some_and(|id| id.ends_with('2')));
     std::fs::write(&settings, hcl.replace("largest = \"4 MiB\"", "largest = \"128 KiB\"")).unwrap();
     again.signal("-HUP");
     again.wait("configuration reloaded");
@@ -1016,11 +1019,11 @@
 /// the old one in force.
 #[test]
 fn program_reloads_on_sighup() {
-    let engine = Engine::well();
+    let engine = Engine::healthy();
     let at = engine.address;
     let (names, asked) = name_service(move |_, id| vec![list_answer(id, 7, &[("e", at, 0)])]);
     let mut configuration = configuration(&[at]);
-    let listen = nobody();
+    let listen = unused_address();
     configuration["listen"] = json!(listen.to_string());
     let file = temporary_path("pipe");
     assert!(std::process::Command::new("mkfifo").arg(&file).status().unwrap().success());
@@ -1048,7 +1051,7 @@
     reload(&configuration.to_string());
     assert!(program.wait("configuration reloaded").contains("waits_for_restart: [\"limits\"]"));
     program.wait("list of engines");
-    asked.recv_timeout(LONG).unwrap();
+    asked.recv_timeout(TEST_TIMEOUT).unwrap();
     let asked = ask_in_background(TcpStream::connect(listen).unwrap(), call("once", 1, 60_000, ""));
     assert_eq!(asked.join().unwrap().status, 200);
     std::fs::remove_file(&file).unwrap();
@@ -1062,7 +1065,7 @@
 /// statement ids. Memory and descriptors do not grow with the number of past ones.
 #[test]
 fn program_memory_does_not_grow_with_past_engines_and_clients() {
-    let engines = [Engine::well(), Engine::well()];
+    let engines = [Engine::healthy(), Engine::healthy()];
     let at: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     let (names, asked) = name_service(move |number, id| {
         let (old, new) = (format!("e{number}"), format!("e{}", number + 1));
@@ -1073,7 +1076,7 @@
         )]
     });
     let mut configuration = configuration(&[]);
-    let listen = nobody();
+    let listen = unused_address();
     (configuration["listen"], configuration["names"]) = (json!(listen.to_string()), json!(names.to_string()));
     configuration["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 128});
     // Engines are warm as soon as they start in this test.
@@ -1093,7 +1096,7 @@
     let mut run_round = |from: u64| {
         for id in from..from + 250 {
             let mut stream = TcpStream::connect(listen).unwrap();
-            stream.set_read_timeout(Some(LONG)).unwrap();
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             stream.write_all(call("read", id, 60_000, "").as_bytes()).unwrap();
             let mut read = BufReader::new(stream);
             assert!(matches!(Response::read(&mut read).status, 200 | 503));
@@ -1103,7 +1106,7 @@
             }
         }
         while asked.try_recv().is_ok() {}
-        asked.recv_timeout(LONG).unwrap();
+        asked.recv_timeout(TEST_TIMEOUT).unwrap();
     };
     run_round(0);
     let (kb, _) = memory_and_descriptors(&program);
@@ -1125,7 +1128,7 @@
         true => answer(200, "Page-Count: 1\r\n", b"done\n"),
         false => answer(202, "", b""),
     });
-    let listen = nobody();
+    let listen = unused_address();
     let file = temporary_path("serve.json");
     let mut configuration = configuration(&[engine.address]);
     configuration["listen"] = json!(listen.to_string());
@@ -1137,7 +1140,7 @@
     };
     let ask = |id: u64| {
         let asked = ask_in_background(TcpStream::connect(listen).unwrap(), call("read", id, 60_000, ""));
-        engine.wait(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
+        engine.wait_for_call(|call| call.headers.get("x-ticket") == Some(&format!("{id:016x}")));
         asked
     };
     let mut killed = start();
