--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where the configuration is read, checked and given defaults. Each message names the key.
+//! Configuration from the platform, in JSON: parsing, validation and defaults. Every error message names the key.
 
 use crate::names::{known, Known};
 use crate::operators::{self, FleetParameters, OperatorSettings, ORDINARY_BODY_BYTES};
@@ -10,59 +10,76 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where gateways hear one another.
+/// Addresses for the gossip between gateways.
 #[derive(Clone, Debug)]
 pub struct Peers {
+    /// Address on which this gateway receives gossip.
     pub listen: SocketAddr,
-    /// One a gateway, in the order of their numbers, our own among them.
+    /// Addresses of all gateways including this one, by gateway number.
     pub each: Vec<SocketAddr>,
+    /// Address that reaches all gateways with one datagram.
     pub all: Option<SocketAddr>,
 }
 
-/// The most that is held of anything, worked out from `limits`.
+/// Resource limits of the gateway, derived from `limits`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Connections of clients, and of ours to engines.
+    /// Connections from clients.
     pub clients: usize,
+    /// Connections to engines.
     pub engines: usize,
-    /// Statements held at once.
+    /// Statements in progress at a time.
     pub stmts: usize,
-    /// Bytes of a statement, of a page and of a whole result; pages of a result.
+    /// Bytes of a statement.
     pub statement: usize,
+    /// Bytes of a result page.
     pub page: usize,
+    /// Bytes of a whole result.
     pub result: usize,
+    /// Pages of a result.
     pub pages: usize,
 }
 
-/// All that a gateway is started with.
+/// Start parameters of a gateway.
 pub struct Start {
+    /// Name of the gateway in the log.
     pub name: String,
+    /// Address for clients.
     pub listen: SocketAddr,
+    /// Seed of the random number generators.
     pub seed: u64,
+    /// Resource limits.
     pub bounds: Bounds,
+    /// Gossip between gateways, if it is on.
     pub peers: Option<Peers>,
+    /// Name service that lists the engines, if there is one.
     pub name_service: Option<SocketAddr>,
+    /// List of engines to start with.
     pub cached_engines: Known,
+    /// Settings of the scheduler.
     pub site: Site,
+    /// Names of workloads and customers.
     pub site_names: Names,
-    /// Connections to engines: not established by then, never; closed by the engine after idling so long.
+    /// Time limit for connecting to an engine.
     pub dial_timeout: Duration,
+    /// Idle time after which engines close a connection.
     pub engine_idle: Duration,
-    /// Of each workload, how long its clients wait at most, where the settings say.
+    /// The longest time that clients wait, by workload, if the settings limit it.
     pub deadlines: Vec<Option<Duration>>,
-    /// How long statements that were taken may be answered once the gateway is told to close.
+    /// How long a shutdown waits for accepted statements to be answered.
     pub shutdown_timeout: Duration,
+    /// Settings that a reload can't change.
     pub restart_only: RestartOnlySettings,
-    /// What the operators say themselves.
+    /// Settings from the operators' file.
     pub operators: OperatorSettings,
-    /// The fleet it is in, where the operators say so.
+    /// Fleet of this gateway, if the operators configure one.
     pub fleet: Option<FleetParameters>,
 }
 
-/// What takes effect at a start only; the rest of the file does so at a reload too.
+/// Keys that take effect only at a restart; a reload applies all others.
 const RESTART_ONLY_KEYS: [&str; 6] = ["name", "listen", "seed", "limits", "peer_listen", "settings"];
 
-/// What the file says under each of these keys.
+/// Values of `RESTART_ONLY_KEYS`, in that order.
 pub struct RestartOnlySettings(Vec<Value>);
 
 impl RestartOnlySettings {
@@ -72,41 +89,40 @@
         )
     }
 
-    /// The keys by which `newer` differs: they wait for a restart.
+    /// The keys whose values differ in `newer` and need a restart.
     pub fn changed(&self, newer: &RestartOnlySettings) -> Vec<&'static str> {
-        let both = RESTART_ONLY_KEYS.into_iter().zip(self.0.iter().zip(&newer.0));
-        both.filter(|(_, (old, new))| old != new).map(|(key, _)| key).collect()
+        let pairs = RESTART_ONLY_KEYS.into_iter().zip(self.0.iter().zip(&newer.0));
+        pairs.filter(|(_, (old, new))| old != new).map(|(key, _)| key).collect()
     }
 }
 
 const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 const NAME_VARIABLE: &str = "EDGE_NAME";
 const LISTEN_VARIABLE: &str = "EDGE_LISTEN";
-/// Descriptors that are neither clients' nor engines': files, timers, names, peers, log.
+/// Descriptors for files, timers, the name service, peers and the log.
 const RESERVED_DESCRIPTORS: usize = 24;
 const MIN_SOCKETS: usize = 128;
 const MIN_MEMORY_MB: f64 = 32.0;
-/// Of all descriptors, what clients may hold: the usual ones hold a third, and the rest is for such as only take up
-/// room until they are closed. What is left is for engines.
+/// Share of all descriptors for clients; engines get the rest. Regular clients need a third, and the remainder serves
+/// connections that stay idle until they are closed.
 const CLIENT_SHARE: f64 = 0.45;
-/// A statement at most holds its text, its result as pages, and the answer written from them.
+/// Upper bounds for a statement in progress: its body, its result as pages, and the response that is written from them.
 const STATEMENT_BYTES: usize = ORDINARY_BODY_BYTES as usize;
 const PAGE_BYTES: usize = 8 * 1024;
 const RESULT_BYTES: usize = 64 * 1024;
 const MAX_PAGES: usize = 32;
-/// Memory that is neither a statement's nor a connection's (the program and its runtime hold 6 MB), and what a
-/// connection holds in buffers.
+/// Memory beside statements and connections (the program and its runtime use 6 MB), and the buffers of one connection.
 const BASE_MEMORY_BYTES: f64 = 8e6;
 const CONNECTION_MEMORY_BYTES: f64 = 24e3;
-/// Where the settings do not say.
+/// Defaults for connections to engines.
 const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 const DEFAULT_ENGINE_IDLE: Duration = Duration::from_secs(15);
-/// Where no workload says how long its clients wait.
+/// Used if no workload has a deadline.
 const DEFAULT_MAX_STATEMENT_TIME: Duration = Duration::from_secs(60);
-/// The longest time that a gateway is given to close in.
+/// The longest time that a shutdown may take.
 const MAX_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reads the file that `path`, or else `EDGE_CONFIG`, names, and the operators' own, if there is one.
+/// Reads the configuration from `path`, or else from the file in `EDGE_CONFIG`, and the operators' settings, if any.
 pub fn load(path: Option<PathBuf>, settings: Option<&Path>) -> Result<Start, String> {
     let path = path.or_else(|| env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
     let path = path.ok_or_else(|| format!("no configuration: name a file, or set {CONFIG_VARIABLE}"))?;
@@ -123,24 +139,24 @@
 
 type ConfigResult<T> = Result<T, String>;
 
-fn text<'a>(value: &'a Value, key: &str) -> ConfigResult<Option<&'a str>> {
+fn string<'a>(value: &'a Value, key: &str) -> ConfigResult<Option<&'a str>> {
     match value.get(key) {
         None | Some(Value::Null) => Ok(None),
-        Some(Value::String(text)) => Ok(Some(text)),
-        Some(other) => Err(format!("{key}: {other} is not a text")),
+        Some(Value::String(string)) => Ok(Some(string)),
+        Some(other) => Err(format!("{key}: {other} is not a string")),
     }
 }
 
-fn address(key: &str, text: &str) -> ConfigResult<SocketAddr> {
+fn parse_address(key: &str, text: &str) -> ConfigResult<SocketAddr> {
     text.parse().map_err(|_| format!("{key}: {text} is not an address and port"))
 }
 
-fn maybe_address(value: &Value, key: &str) -> ConfigResult<Option<SocketAddr>> {
-    text(value, key)?.map(|text| address(key, text)).transpose()
+fn optional_address(value: &Value, key: &str) -> ConfigResult<Option<SocketAddr>> {
+    string(value, key)?.map(|text| parse_address(key, text)).transpose()
 }
 
-/// A whole number above 0, where there is one; `path` is where the object stands.
-fn whole(object: &Value, key: &str, path: &str) -> ConfigResult<Option<u64>> {
+/// A positive integer, if present; `path` is the path of the object.
+fn positive_integer(object: &Value, key: &str, path: &str) -> ConfigResult<Option<u64>> {
     match object.get(key) {
         None | Some(Value::Null) => Ok(None),
         Some(value) => match value.as_u64().filter(|n| *n > 0) {
@@ -150,23 +166,26 @@
     }
 }
 
-fn span(object: &Value, key: &str, path: &str) -> ConfigResult<Option<Duration>> {
-    Ok(whole(object, key, path)?.map(Duration::from_micros))
+/// A duration in microseconds, if present.
+fn duration_us(object: &Value, key: &str, path: &str) -> ConfigResult<Option<Duration>> {
+    Ok(positive_integer(object, key, path)?.map(Duration::from_micros))
 }
 
-fn limit(limits: &Value, key: &str, absent: f64, least: f64) -> ConfigResult<f64> {
-    let wrong = |value: &Value| format!("limits.{key}: {value} is not a number from {least}");
+/// A number of `limits` with a default and a minimum.
+fn limit(limits: &Value, key: &str, default: f64, min: f64) -> ConfigResult<f64> {
+    let error = |value: &Value| format!("limits.{key}: {value} is not a number from {min}");
     match limits.get(key) {
-        None | Some(Value::Null) => Ok(absent),
-        Some(value) => value.as_f64().filter(|n| *n >= least).ok_or_else(|| wrong(value)),
+        None | Some(Value::Null) => Ok(default),
+        Some(value) => value.as_f64().filter(|n| *n >= min).ok_or_else(|| error(value)),
     }
 }
 
-/// `name` and `listen`: what the environment says, which goes before the file.
+/// Reads a configuration without operator settings. `name` and `listen` come from the environment and override the file.
 pub fn read(value: &Value, name: Option<String>, listen: Option<String>) -> ConfigResult<Start> {
     read_with(value, name, listen, OperatorSettings::default())
 }
 
+/// Like `read`, with operator settings.
 pub fn read_with(
     value: &Value,
     name: Option<String>,
@@ -178,11 +197,11 @@
     }
     let name = match name {
         Some(name) => name,
-        None => text(value, "name")?.unwrap_or("bramblewharf").to_string(),
+        None => string(value, "name")?.unwrap_or("bramblewharf").to_string(),
     };
     let listen = match listen {
-        Some(listen) => address(LISTEN_VARIABLE, &listen)?,
-        None => maybe_address(value, "listen")?.ok_or("listen: is missing")?,
+        Some(listen) => parse_address(LISTEN_VARIABLE, &listen)?,
+        None => optional_address(value, "listen")?.ok_or("listen: is missing")?,
     };
     let seed = match value.get("seed") {
         None | Some(Value::Null) => return Err("seed: is missing".into()),
@@ -196,8 +215,9 @@
         bramblewharf_site::read(settings).map_err(|e| e.replace("member conf", "settings"))?;
     let allowed = settings.get("allowed").unwrap_or(&Value::Null);
     let mut deadlines = Vec::new();
-    for (at, row) in settings.get("profiles").and_then(Value::as_array).into_iter().flatten().enumerate() {
-        deadlines.push(span(row, "deadlineUs", &format!("settings.profiles[{at}]"))?);
+    for (at, profile) in settings.get("profiles").and_then(Value::as_array).into_iter().flatten().enumerate()
+    {
+        deadlines.push(duration_us(profile, "deadlineUs", &format!("settings.profiles[{at}]"))?);
     }
     let kinds: Vec<String> = site.kinds.iter().map(|kind| kind.name.to_string()).collect();
     let fleet = operators.fleet_parameters(&operators::PlatformContext {
@@ -219,14 +239,15 @@
         seed,
         bounds: bounds(
             value.get("limits").unwrap_or(&Value::Null),
-            whole(allowed, "maxOpen", "settings.allowed")?,
+            positive_integer(allowed, "maxOpen", "settings.allowed")?,
             operators.bodies.reserved_resources(),
         )?,
         peers: peers(value, &site)?,
-        name_service: maybe_address(value, "names")?,
+        name_service: optional_address(value, "names")?,
         cached_engines,
-        dial_timeout: span(allowed, "dialTimeoutUs", "settings.allowed")?.unwrap_or(DEFAULT_DIAL_TIMEOUT),
-        engine_idle: span(allowed, "keepaliveUs", "settings.allowed")?.unwrap_or(DEFAULT_ENGINE_IDLE),
+        dial_timeout: duration_us(allowed, "dialTimeoutUs", "settings.allowed")?
+            .unwrap_or(DEFAULT_DIAL_TIMEOUT),
+        engine_idle: duration_us(allowed, "keepaliveUs", "settings.allowed")?.unwrap_or(DEFAULT_ENGINE_IDLE),
         shutdown_timeout: deadlines
             .iter()
             .flatten()
@@ -244,20 +265,23 @@
 }
 
 fn peers(value: &Value, site: &Site) -> ConfigResult<Option<Peers>> {
-    let Some(listen) = maybe_address(value, "peer_listen")?.filter(|_| site.can_gossip) else {
+    let Some(listen) = optional_address(value, "peer_listen")?.filter(|_| site.can_gossip) else {
         return Ok(None);
     };
     let mut each = Vec::new();
     let peers = value.get("peers").unwrap_or(&Value::Null);
-    let wrong = || format!("peers: {peers} is not a list");
-    for (at, peer) in peers.as_array().ok_or_else(wrong)?.iter().enumerate() {
+    let error = || format!("peers: {peers} is not a list");
+    for (at, peer) in peers.as_array().ok_or_else(error)?.iter().enumerate() {
         let key = format!("peers[{at}]");
-        each.push(address(&key, peer.as_str().ok_or_else(|| format!("{key}: {peer} is not a text"))?)?);
+        each.push(parse_address(
+            &key,
+            peer.as_str().ok_or_else(|| format!("{key}: {peer} is not a string"))?,
+        )?);
     }
-    Ok(Some(Peers { listen, each, all: maybe_address(value, "peers_all")? }))
+    Ok(Some(Peers { listen, each, all: optional_address(value, "peers_all")? }))
 }
 
-/// `bodies`: the memory and the descriptors that texts beyond the ordinary ones take.
+/// Derives the limits. `bodies` is the memory and the number of descriptors reserved for bodies beyond the ordinary size.
 fn bounds(limits: &Value, max_open: Option<u64>, bodies: (u64, usize)) -> ConfigResult<Bounds> {
     let sockets = limit(limits, "sockets", 1024.0, MIN_SOCKETS as f64)? as usize;
     let memory = limit(limits, "memory_mb", 192.0, MIN_MEMORY_MB)? * 1e6;
@@ -271,10 +295,11 @@
     let (memory, sockets) = (memory - pool as f64, sockets - descriptors);
     let clients = (sockets as f64 * CLIENT_SHARE) as usize;
     let engines = sockets - RESERVED_DESCRIPTORS - clients;
-    let held = (memory - BASE_MEMORY_BYTES - (clients + engines) as f64 * CONNECTION_MEMORY_BYTES).max(4e6);
-    let by_memory = (held / (STATEMENT_BYTES + 3 * RESULT_BYTES) as f64) as usize;
-    // An execution holds one connection at a time, and its cancel another. Of clients' connections some are
-    // left over for those that are rejected.
+    let statement_memory =
+        (memory - BASE_MEMORY_BYTES - (clients + engines) as f64 * CONNECTION_MEMORY_BYTES).max(4e6);
+    let by_memory = (statement_memory / (STATEMENT_BYTES + 3 * RESULT_BYTES) as f64) as usize;
+    // An execution uses one connection and its cancellation another. A share of the client connections stays free for
+    // statements that are rejected.
     let stmts = (engines * 4 / 5).min(clients * 3 / 4).min(by_memory.max(16));
     Ok(Bounds {
         clients,
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' file, in HCL: the one place where it is read, checked and given defaults. Each message names the key, its
-//! line and the rule. What the platform states is in the configuration (`config`), not here.
+//! Operator settings in HCL: parsing, validation and defaults. Every error message names the line, the key and the violated
+//! rule. The settings that the platform provides are read in `config`.
 
 use crate::policy::{self, Names};
 use bramblewharf_bodies as bodies;
@@ -16,91 +16,109 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What every statement may have, in bytes: a text up to this goes the ordinary path.
+/// Body size that every statement may have; bodies up to this size bypass the body store.
 pub const ORDINARY_BODY_BYTES: u64 = 64 * 1024;
-/// The largest text that can be allowed, the most files and the most threads for them.
+/// Upper limits of what the settings may allow for large bodies.
 const MAX_BODY_BYTES: u64 = 4 << 30;
 const MAX_FILES: usize = 100_000;
 const MAX_THREADS: usize = 64;
 
+/// The operators' settings file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
+    /// Bodies beyond the ordinary size.
     pub bodies: Bodies,
+    /// The fleet of this gateway, if it is in one.
     pub fleet: Option<Fleet>,
-    /// Budgets of the whole fleet, by name.
+    /// Fleet-wide budgets by name.
     pub budget: BTreeMap<String, Budget>,
 }
 
-/// The fleet that this gateway is in. Spans are texts such as `"2s"`.
+/// The fleet that this gateway belongs to. Durations are strings such as `"2s"`.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
+    /// Name of the fleet; its digest separates the datagrams of different fleets.
     pub name: String,
-    /// What every gateway of the fleet has, and nobody else: 16 bytes or more.
+    /// File with the shared key of the fleet, at least 16 bytes.
     pub key_file: PathBuf,
-    /// Where other parts of the fleet find this one, by UDP.
+    /// UDP address on which this gateway receives fleet messages.
     pub listen: SocketAddr,
-    /// How many gateways there can be, and which of them this one is: without it, its number in the configuration.
+    /// The most members that the fleet can have.
     pub places: u32,
+    /// Member id of this gateway; by default its number in the configuration.
     pub place: Option<u32>,
-    /// Where the seats listen, in the order of their numbers, and which this gateway has, if any.
+    /// Addresses of the voters, in the order of their numbers.
     pub seats: Vec<SocketAddr>,
+    /// Voter number of this gateway, if it is a voter.
     pub seat: Option<u8>,
+    /// Lease of grants.
     #[serde(with = "humantime_serde", default = "default_lease")]
     pub lease: Duration,
-    /// By how many percent clocks may run fast or slow.
+    /// By how many percent a clock may run fast or slow.
     #[serde(default = "default_drift")]
     pub drift_percent: u32,
-    /// How long engines go on with what nobody asks for.
+    /// How long an engine continues an execution that is no longer polled.
     #[serde(with = "humantime_serde", default = "default_keep")]
     pub engines_keep: Duration,
-    /// What this gateway lends of engines goes by how many gateways are in, not by the configured number.
+    /// Divides engine capacity by the number of active members instead of the configured number of gateways.
     #[serde(default)]
     pub engines_by_members: bool,
-    /// The fleet's first policy: with it, changes go through the fleet.
+    /// File with the initial policy; if set, policy changes go through the fleet.
     pub policy: Option<PathBuf>,
-    /// Where what has to last of it is kept; without one, a seat that starts knows nothing.
+    /// File for the durable policy state; without it, a voter starts without any state.
     pub policy_file: Option<PathBuf>,
-    /// How long a gateway that starts waits for the fleet's word before it goes on by what it acted by last.
+    /// How long a starting gateway waits for the fleet before it enforces the last policy that it stored.
     #[serde(with = "humantime_serde", default = "default_wait")]
     pub policy_wait: Duration,
-    /// One that never acted by anything then goes by its own file of `policy`.
+    /// A gateway without a stored policy then enforces the file in `policy`.
     #[serde(default)]
     pub policy_alone: bool,
-    /// Where what is out at engines is kept for the process after this one; without it, that process asks all engines first.
+    /// File that records executions in flight for the next process; without it, that process queries all engines first.
     pub outstanding_file: Option<PathBuf>,
-    /// A file that says how things stand, and one that notes every change of what is had.
+    /// File to which the fleet status is written.
     pub status: Option<PathBuf>,
+    /// File to which every change of the grants and the policy is appended.
     pub facts: Option<PathBuf>,
 }
 
-/// One budget: what it is on, what is counted, how much there is.
+/// One fleet-wide budget: its scope, what it counts and its total.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
+    /// Applies to one customer only.
     pub customer: Option<String>,
+    /// Applies to one workload only.
     pub workload: Option<String>,
+    /// Applies to one kind of engine only.
     pub kind: Option<String>,
-    /// Only executions after a statement's first.
+    /// Applies only to executions after a statement's first.
     #[serde(default)]
     pub further: bool,
+    /// Limits concurrent use of this unit.
     pub at_once: Option<BudgetUnit>,
+    /// Limits the rate of this unit.
     pub per_second: Option<BudgetUnit>,
+    /// Total of the budget across the fleet.
     pub whole: f64,
-    /// Percent of the whole that is divided evenly for ever.
+    /// Percent of the total that is permanently divided evenly between the members.
     #[serde(default = "default_floor")]
     pub floor_percent: u64,
-    /// For budgets by the second: how long unused leave is saved up.
+    /// Rate budgets: for how long an unused grant accumulates.
     #[serde(with = "humantime_serde", default = "default_burst")]
     pub burst: Duration,
 }
 
+/// Unit in which a budget is counted.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum BudgetUnit {
+    /// Number of statements.
     Statements,
+    /// Sum of the statements' weights.
     Weight,
+    /// Memory of the statements.
     Memory,
 }
 
@@ -128,97 +146,115 @@
     Duration::from_secs(1)
 }
 
-/// What a gateway in a fleet is started with.
+/// Start parameters of a gateway in a fleet.
 #[derive(Clone)]
 pub struct FleetParameters {
+    /// Start parameters of the fleet node.
     pub start: node::Start,
+    /// Start parameters of the policy, if the fleet manages one.
     pub policy: Option<PolicyParameters>,
+    /// Key that authenticates the fleet's datagrams.
     pub key: Key,
+    /// UDP address of this gateway.
     pub listen: SocketAddr,
+    /// Addresses of the voters.
     pub seats: Vec<SocketAddr>,
+    /// File that records executions in flight.
     pub outstanding_file: Option<PathBuf>,
+    /// File for the status.
     pub status: Option<PathBuf>,
+    /// File for the log of facts.
     pub facts: Option<PathBuf>,
 }
 
-/// What the fleet's policy begins with here.
+/// Start parameters of the fleet's policy in this gateway.
 #[derive(Clone)]
 pub struct PolicyParameters {
+    /// Start parameters of the policy replica.
     pub start: bramblewharf_policy::Start,
+    /// Names that a policy may refer to.
     pub names: std::sync::Arc<Names>,
+    /// File for the durable policy state.
     pub file: Option<PathBuf>,
-    /// What is wrong with the file that was there.
+    /// Why the existing file could not be read.
     pub fault: Option<String>,
 }
 
-/// What names in budgets stand for, and what else the configuration says.
+/// What the platform's configuration contributes to the fleet parameters.
 pub struct PlatformContext<'a> {
+    /// Workloads, in configuration order.
     pub workloads: &'a [String],
+    /// Customers, in configuration order.
     pub customers: &'a [String],
+    /// Kinds of engines.
     pub kinds: &'a [String],
-    /// The same for the fleet's policy, with what the platform binds.
+    /// The same names for the policy, with the constraints that the platform sets on workloads.
     pub names: Names,
+    /// Number of this gateway, the default of its member id.
     pub gateway_number: u32,
-    /// The longest that a statement may take.
+    /// The longest time that a statement may take.
     pub max_statement_time: Duration,
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
 impl OperatorSettings {
-    /// The fleet's terms, where there is one. Messages begin with the key.
-    pub fn fleet_parameters(&self, known: &PlatformContext) -> Result<Option<FleetParameters>, String> {
+    /// Start parameters of the fleet, if there is one. Error messages begin with the key.
+    pub fn fleet_parameters(&self, platform: &PlatformContext) -> Result<Option<FleetParameters>, String> {
         let Some(fleet) = &self.fleet else { return Ok(None) };
         let shown = fleet.key_file.display();
         let key = std::fs::read(&fleet.key_file).map_err(|e| format!("fleet.key_file: {shown}: {e}"))?;
         let key = Key::derive(&key).ok_or_else(|| format!("fleet.key_file: {shown}: is under 16 bytes"))?;
-        let place = fleet.place.unwrap_or(known.gateway_number);
-        if place >= fleet.places {
-            return Err(format!("fleet.place: {place} is none of the {} of fleet.places", fleet.places));
+        let member_id = fleet.place.unwrap_or(platform.gateway_number);
+        if member_id >= fleet.places {
+            return Err(format!("fleet.place: {member_id} is not below fleet.places ({})", fleet.places));
         }
-        let named = |key: &str, name: &Option<String>, names: &[String]| match name {
+        let index_of = |key: &str, name: &Option<String>, names: &[String]| match name {
             None => Ok(None),
             Some(name) => match names.iter().position(|other| other == name) {
                 Some(at) => Ok(Some(at)),
                 None => Err(format!("{key}: {name} is not in the configuration")),
             },
         };
-        let mut all = Vec::new();
+        let mut budgets = Vec::new();
         for (name, budget) in &self.budget {
             let key = |part: &str| format!("budget.{name}.{part}");
             let scope = Scope {
-                workload: named(&key("workload"), &budget.workload, known.workloads)?,
-                customer: named(&key("customer"), &budget.customer, known.customers)?,
-                kind: named(&key("kind"), &budget.kind, known.kinds)?.map(|at| known.kinds[at].clone()),
+                workload: index_of(&key("workload"), &budget.workload, platform.workloads)?,
+                customer: index_of(&key("customer"), &budget.customer, platform.customers)?,
+                kind: index_of(&key("kind"), &budget.kind, platform.kinds)?
+                    .map(|at| platform.kinds[at].clone()),
                 further: budget.further,
             };
-            all.push(budget.read(name.clone(), scope));
+            budgets.push(budget.resolve(name.clone(), scope));
         }
         if fleet.engines_by_members {
-            all.push(budgets::Budget::engines());
+            budgets.push(budgets::Budget::engines());
         }
-        // Alike at all gateways or not: which place or seat this one has is its own.
-        let alike = format!("{:?}", (&fleet.name, fleet.places, fleet.seats.len(), fleet.lease, &all));
+        // Covers only what all gateways must agree on, so not the member id and voter number of this one.
+        let shared_settings =
+            format!("{:?}", (&fleet.name, fleet.places, fleet.seats.len(), fleet.lease, &budgets));
         let config = FleetConfig {
             fleet: fleet_id(&fleet.name),
             max_members: fleet.places,
             voters: fleet.seats.len() as u8,
             lease: fleet.lease,
             drift_percent: fleet.drift_percent,
-            max_execution_time: known.max_statement_time + fleet.engines_keep,
+            max_execution_time: platform.max_statement_time + fleet.engines_keep,
             orphan_retention: fleet.engines_keep,
             injected_bug: None,
         };
         let incarnation = random_u64();
-        let policy = fleet.policy_parameters(known, &config, place, incarnation)?;
+        let policy = fleet.policy_parameters(platform, &config, member_id, incarnation)?;
         let start = node::Start {
-            member_id: place,
+            member_id,
             voter: fleet.seat,
-            // New with every start, also where the seed is not: chance from the system's own hash keys.
+            // Must be new with every start even if the seed is not, so it comes from the standard library's random hash keys.
             incarnation: Incarnation(incarnation),
             config,
-            budgets: all,
-            table_digest: digest(&alike),
-            seed: known.seed ^ random_u64(),
+            budgets,
+            table_digest: digest(&shared_settings),
+            seed: platform.seed ^ random_u64(),
         };
         Ok(Some(FleetParameters {
             start,
@@ -234,41 +270,43 @@
 }
 
 impl Fleet {
-    /// The policy's part, where there is one: its own text must be well before anything is begun.
+    /// Start parameters of the policy, if there is one; an invalid policy file fails the start.
     fn policy_parameters(
         &self,
-        known: &PlatformContext,
+        platform: &PlatformContext,
         config: &FleetConfig,
-        place: u32,
+        member_id: u32,
         incarnation: u64,
     ) -> Result<Option<PolicyParameters>, String> {
         let Some(path) = &self.policy else { return Ok(None) };
         let initial = policy::initial_revision(path)?;
-        policy::read(&initial.text, Some(&known.names)).map_err(|e| format!("{}:{e}", path.display()))?;
+        policy::read(&initial.text, Some(&platform.names)).map_err(|e| format!("{}:{e}", path.display()))?;
         let (stored, fault) = self.policy_file.as_deref().map(policy::load_stored).unwrap_or_default();
         let start = bramblewharf_policy::Start {
-            member_id: place,
+            member_id,
             voter: self.seat,
             terms: bramblewharf_policy::Terms { fleet: config.clone(), injected_bug: None },
-            check: policy::revision_check(known.names.clone()),
+            check: policy::revision_check(platform.names.clone()),
             initial,
             stored,
             incarnation,
             wait: self.policy_wait,
             fallback_to_initial: self.policy_alone,
         };
-        let names = std::sync::Arc::new(known.names.clone());
+        let names = std::sync::Arc::new(platform.names.clone());
         Ok(Some(PolicyParameters { start, names, file: self.policy_file.clone(), fault }))
     }
 }
 
+/// A random number from the keys of the standard library's hasher.
 fn random_u64() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::hash::RandomState::new().build_hasher().finish()
 }
 
 impl Budget {
-    fn read(&self, name: String, scope: Scope) -> budgets::Budget {
+    /// The budget in milliunits, with its scope resolved to indices.
+    fn resolve(&self, name: String, scope: Scope) -> budgets::Budget {
         let (measure, quantum) = match (self.at_once, self.per_second) {
             (Some(BudgetUnit::Weight), _) => (Measure::WeightAtOnce, UNIT),
             (Some(BudgetUnit::Memory), _) => (Measure::MemoryAtOnce, 16 * UNIT),
@@ -281,60 +319,74 @@
     }
 }
 
-/// Texts beyond the ordinary 64 KiB. Sizes are texts such as `"16 MiB"`.
+/// Bodies beyond the ordinary 64 KiB. Sizes are strings such as `"16 MiB"`.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bodies {
-    /// The largest text that is taken.
+    /// The largest body that is accepted.
     pub largest: ByteSize,
-    /// Beyond the time that ordinary texts have, one may come as slowly as so many bytes a second.
+    /// Lowest receive rate (bytes a second) once the receive time of an ordinary body has passed.
     pub slowest: ByteSize,
+    /// What happens to a body that no tier can store.
     pub not_kept: NotKeptAction,
+    /// The memory tier.
     pub memory: Memory,
+    /// The file tier, if there is one.
     pub files: Option<Files>,
+    /// Settings of single workloads.
     pub workload: BTreeMap<String, WorkloadBodies>,
 }
 
-/// What becomes of a text for which no tier that keeps it has room.
+/// What happens to a body if no tier has free capacity to store it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum NotKeptAction {
-    /// It goes through to one engine as it comes, once.
+    /// It is streamed to one engine as it arrives, without a retry.
     #[default]
     Stream,
-    /// It is rejected.
+    /// The statement is rejected.
     Reject,
 }
 
+/// Limits of bodies in memory.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Memory {
-    /// Of one text, and of all together.
+    /// Limit for one body.
     pub each: ByteSize,
+    /// Limit for all bodies together.
     pub pool: ByteSize,
 }
 
+/// Limits of bodies that are spooled to files.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Files {
+    /// Directory for the spool files.
     pub dir: PathBuf,
+    /// Limit for one body.
     pub each: ByteSize,
+    /// Limit for all bodies together.
     pub pool: ByteSize,
+    /// The most files at a time.
     #[serde(default = "default_count")]
     pub count: usize,
+    /// Number of I/O threads.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Chunks are compressed where that makes them smaller.
+    /// Compresses chunks if that makes them smaller.
     #[serde(default)]
     pub zstd: bool,
-    /// The folder is in memory, whatever its name: its files count there too.
+    /// The directory is on an in-memory file system such as tmpfs, so its files also count as memory.
     #[serde(default)]
     pub in_memory: bool,
 }
 
+/// Body settings of one workload.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct WorkloadBodies {
+    /// Overrides `not_kept` of all bodies.
     pub not_kept: NotKeptAction,
 }
 
@@ -366,21 +418,22 @@
 }
 
 impl Bodies {
-    /// Whether any text beyond the ordinary ones is taken.
+    /// Whether bodies beyond the ordinary size are accepted.
     pub fn is_enabled(&self) -> bool {
         self.largest.as_u64() > ORDINARY_BODY_BYTES
     }
 
-    /// Memory (bytes) and descriptors that are set apart.
+    /// Memory (bytes) and file descriptors that are reserved.
     pub fn reserved_resources(&self) -> (u64, usize) {
         let files = self.files.as_ref();
         match self.is_enabled() {
-            // A file being read or written has a descriptor; the lock has one.
+            // Each file in use has a descriptor, and so does the lock.
             true => (self.memory.pool.as_u64(), files.map_or(0, |files| files.count + files.threads + 2)),
             false => (0, 0),
         }
     }
 
+    /// Limits of the body store.
     pub fn bounds(&self) -> bodies::Bounds {
         bodies::Bounds {
             max_body: self.largest.as_u64(),
@@ -395,23 +448,24 @@
         }
     }
 
-    /// Differs in nothing that waits for a restart.
+    /// Whether the settings that take effect only at a restart are unchanged.
     pub fn is_unchanged_until_restart(&self, newer: &Bodies) -> bool {
-        let fixed = |bodies: &Bodies| {
+        let restart_only = |bodies: &Bodies| {
             let files = bodies.files.as_ref().filter(|_| bodies.is_enabled());
             let files = files.map(|f| (f.dir.clone(), f.threads, f.zstd));
             (files, bodies.reserved_resources(), bodies.slowest, bodies.not_kept, bodies.workload.clone())
         };
-        fixed(self) == fixed(newer)
+        restart_only(self) == restart_only(newer)
     }
 
-    /// Of a workload: its texts are kept, or not taken.
+    /// Whether a workload's bodies are rejected if they can't be stored.
     pub fn rejects_not_kept(&self, workload: &str) -> bool {
-        self.workload.get(workload).map_or(self.not_kept, |own| own.not_kept) == NotKeptAction::Reject
+        self.workload.get(workload).map_or(self.not_kept, |overrides| overrides.not_kept)
+            == NotKeptAction::Reject
     }
 }
 
-/// Reads the file; without one, all is as if nothing were said.
+/// Reads the settings file; without a path, every setting has its default.
 pub fn load(path: Option<&Path>, workloads: &[String]) -> Result<OperatorSettings, String> {
     let Some(path) = path else { return Ok(OperatorSettings::default()) };
     let shown = path.display();
@@ -419,148 +473,150 @@
     read(&text, Some(workloads)).map_err(|e| format!("{shown}:{e}"))
 }
 
-/// Without a configuration nothing is known of workloads.
+/// Checks the settings file without a configuration, so the names of workloads are not checked.
 pub fn check_file(path: &Path) -> Result<(), String> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{shown}: cannot be read: {e}"))?;
     read(&text, None).map(drop).map_err(|e| format!("{shown}:{e}"))
 }
 
-/// Messages are `LINE: KEY: RULE`.
+/// Parses and checks settings. Error messages are `LINE: KEY: RULE`.
 pub fn read(text: &str, workloads: Option<&[String]>) -> Result<OperatorSettings, String> {
-    let (operators, line): (OperatorSettings, _) = parse(text)?;
-    check(&operators, workloads).map_err(|(key, why)| format!("{}: {key}: {why}", line(&key)))?;
-    Ok(operators)
+    let (settings, line): (OperatorSettings, _) = parse(text)?;
+    check(&settings, workloads).map_err(|(key, why)| format!("{}: {key}: {why}", line(&key)))?;
+    Ok(settings)
 }
 
-/// What a text in HCL says, and the line on which a key of it stands.
+/// Deserializes HCL; also returns a function that finds the line of a key.
 pub fn parse<T: serde::de::DeserializeOwned>(text: &str) -> Result<(T, impl Fn(&str) -> usize + '_), String> {
-    let parsed: Body = text
+    let document: Body = text
         .parse()
         .map_err(|e: hcl::edit::parser::Error| format!("{}: {}", e.location().line(), e.message()))?;
     let body = hcl::from_str::<hcl::Body>(text).map_err(|e| format!("1: {e}"))?;
-    let read: Result<T, _> = serde_path_to_error::deserialize(hcl::de::Deserializer::from_body(body));
-    let read = read.map_err(|e| {
+    let value: Result<T, _> = serde_path_to_error::deserialize(hcl::de::Deserializer::from_body(body));
+    let value = value.map_err(|e| {
         let path = e.path().to_string();
         let why = e.inner().to_string();
-        // Of a key that is not known, the path is that of what it stands in.
+        // For an unknown key, the path is that of the enclosing block.
         let unknown = why.strip_prefix("unknown field `").and_then(|rest| rest.split('`').next());
         let key = match unknown {
             Some(key) if path == "." => key.to_string(),
             Some(key) if !path.ends_with(key) => format!("{path}.{key}"),
             _ => path,
         };
-        format!("{}: {key}: {why}", line_of_key(&parsed, text, &key))
+        format!("{}: {key}: {why}", line_of_key(&document, text, &key))
     })?;
-    Ok((read, move |key: &str| line_of_key(&parsed, text, key)))
+    Ok((value, move |key: &str| line_of_key(&document, text, key)))
 }
 
+/// A key and the rule that its value violates.
 type RuleViolation = (String, String);
 
-/// What must hold between what is said. What the folder is like is looked at where files are first made.
-fn check(operators: &OperatorSettings, workloads: Option<&[String]>) -> Result<(), RuleViolation> {
-    let bodies = &operators.bodies;
-    let must = |holds: bool, key: &str, why: &str| match holds {
+/// Checks the rules between settings. The spool directory itself is checked when the first file is created.
+fn check(settings: &OperatorSettings, workloads: Option<&[String]>) -> Result<(), RuleViolation> {
+    let bodies = &settings.bodies;
+    let require = |holds: bool, key: &str, why: &str| match holds {
         true => Ok(()),
         false => Err((format!("bodies.{key}"), why.to_string())),
     };
     let (largest, memory) = (bodies.largest.as_u64(), &bodies.memory);
-    must(largest >= ORDINARY_BODY_BYTES, "largest", "is under the 64 KiB that every statement may have")?;
-    must(largest <= MAX_BODY_BYTES, "largest", "is over 4 GiB")?;
-    must(
+    require(largest >= ORDINARY_BODY_BYTES, "largest", "is under the 64 KiB that every statement may have")?;
+    require(largest <= MAX_BODY_BYTES, "largest", "is over 4 GiB")?;
+    require(
         bodies.slowest.as_u64() >= 1024,
         "slowest",
-        "is under 1 KiB a second: a slow sender would hold its place",
+        "is under 1 KiB a second: a slow sender would hold its slot for too long",
     )?;
-    must(memory.each <= memory.pool, "memory.each", "is more than bodies.memory.pool")?;
+    require(memory.each <= memory.pool, "memory.each", "is more than bodies.memory.pool")?;
     let window = bodies::accounting::PASS_THROUGH_WINDOW_BYTES;
-    must(
+    require(
         memory.pool.as_u64() >= window,
         "memory.pool",
-        "is under the 128 KiB that one text takes in passing",
+        "is under the 128 KiB window of one pass-through body",
     )?;
     if let Some(files) = &bodies.files {
-        must(files.each <= files.pool, "files.each", "is more than bodies.files.pool")?;
-        must(
+        require(files.each <= files.pool, "files.each", "is more than bodies.files.pool")?;
+        require(
             files.each.as_u64() >= ORDINARY_BODY_BYTES,
             "files.each",
-            "is under 64 KiB: no text would go there",
+            "is under 64 KiB: no body would be stored there",
         )?;
-        must((1..=MAX_FILES).contains(&files.count), "files.count", "is not a number from 1 to 100000")?;
-        must((1..=MAX_THREADS).contains(&files.threads), "files.threads", "is not a number from 1 to 64")?;
-        must(files.dir.is_absolute(), "files.dir", "is not an absolute path")?;
+        require((1..=MAX_FILES).contains(&files.count), "files.count", "is not a number from 1 to 100000")?;
+        require((1..=MAX_THREADS).contains(&files.threads), "files.threads", "is not a number from 1 to 64")?;
+        require(files.dir.is_absolute(), "files.dir", "is not an absolute path")?;
         let fits = !files.in_memory || files.pool <= memory.pool;
-        must(fits, "files.pool", "is more than bodies.memory.pool, and these files are in memory")?;
+        require(fits, "files.pool", "is more than bodies.memory.pool, and these files are in memory")?;
     }
-    check_fleet(operators)?;
+    check_fleet(settings)?;
     for name in bodies.workload.keys() {
         let known = workloads.is_none_or(|workloads| workloads.contains(name));
-        must(known, &format!("workload.{name}"), "is no workload of the configuration")?;
+        require(known, &format!("workload.{name}"), "is no workload of the configuration")?;
     }
     Ok(())
 }
 
-/// The most budgets that one datagram has room for, and the most places and seats.
+/// Limited by what fits into one datagram, the budget of engines included.
 const MAX_BUDGETS: usize = 16;
 const MAX_MEMBERS: u32 = 10_000;
 const MAX_VOTERS: usize = 7;
 
-fn check_fleet(operators: &OperatorSettings) -> Result<(), RuleViolation> {
-    let must = |holds: bool, key: String, why: &str| if holds { Ok(()) } else { Err((key, why.to_string())) };
-    let Some(fleet) = &operators.fleet else {
-        let name = operators.budget.keys().next();
-        return name.map_or(Ok(()), |name| must(false, format!("budget.{name}"), "needs a fleet block"));
+fn check_fleet(settings: &OperatorSettings) -> Result<(), RuleViolation> {
+    let require =
+        |holds: bool, key: String, why: &str| if holds { Ok(()) } else { Err((key, why.to_string())) };
+    let Some(fleet) = &settings.fleet else {
+        let name = settings.budget.keys().next();
+        return name.map_or(Ok(()), |name| require(false, format!("budget.{name}"), "needs a fleet block"));
     };
     let of = |key: &str| format!("fleet.{key}");
-    must((1..=MAX_MEMBERS).contains(&fleet.places), of("places"), "is not a number from 1 to 10000")?;
-    must(fleet.place.is_none_or(|place| place < fleet.places), of("place"), "is none of fleet.places")?;
-    let seats = fleet.seats.len();
-    must(seats % 2 == 1 && seats <= MAX_VOTERS, of("seats"), "are not 1, 3, 5 or 7 addresses")?;
-    let apart = fleet.seats.iter().enumerate().all(|(at, seat)| !fleet.seats[..at].contains(seat));
-    must(apart, of("seats"), "names an address twice")?;
-    must(fleet.seat.is_none_or(|seat| usize::from(seat) < seats), of("seat"), "is none of fleet.seats")?;
+    require((1..=MAX_MEMBERS).contains(&fleet.places), of("places"), "is not a number from 1 to 10000")?;
+    require(fleet.place.is_none_or(|place| place < fleet.places), of("place"), "is none of fleet.places")?;
+    let voters = fleet.seats.len();
+    require(voters % 2 == 1 && voters <= MAX_VOTERS, of("seats"), "are not 1, 3, 5 or 7 addresses")?;
+    let distinct = fleet.seats.iter().enumerate().all(|(at, seat)| !fleet.seats[..at].contains(seat));
+    require(distinct, of("seats"), "names an address twice")?;
+    require(fleet.seat.is_none_or(|seat| usize::from(seat) < voters), of("seat"), "is none of fleet.seats")?;
     let lease = fleet.lease;
-    let span = (Duration::from_secs(1)..=Duration::from_secs(60)).contains(&lease);
-    must(span, of("lease"), "is not a span from 1s to 60s")?;
-    must((1..=10).contains(&fleet.drift_percent), of("drift_percent"), "is not a number from 1 to 10")?;
-    let keep = fleet.engines_keep <= Duration::from_secs(600);
-    must(keep, of("engines_keep"), "is over 600s")?;
-    must(
-        !operators.budget.contains_key("engines"),
+    let in_range = (Duration::from_secs(1)..=Duration::from_secs(60)).contains(&lease);
+    require(in_range, of("lease"), "is not a span from 1s to 60s")?;
+    require((1..=10).contains(&fleet.drift_percent), of("drift_percent"), "is not a number from 1 to 10")?;
+    let retention_ok = fleet.engines_keep <= Duration::from_secs(600);
+    require(retention_ok, of("engines_keep"), "is over 600s")?;
+    require(
+        !settings.budget.contains_key("engines"),
         "budget.engines".into(),
         "is a name of fleet.engines_by_members",
     )?;
-    must(operators.budget.len() < MAX_BUDGETS, "budget".into(), "is there more than 15 times")?;
-    for (name, budget) in &operators.budget {
+    require(settings.budget.len() < MAX_BUDGETS, "budget".into(), "has more than 15 blocks")?;
+    for (name, budget) in &settings.budget {
         let of = |key: &str| format!("budget.{name}.{key}");
-        let one = budget.at_once.is_some() != budget.per_second.is_some();
-        must(one, of("at_once"), "and per_second: exactly one of them says what is counted")?;
-        let held = budget.per_second != Some(BudgetUnit::Memory);
-        must(held, of("per_second"), "memory is held, not spent: it is counted at_once")?;
-        let whole = budget.whole.is_finite() && (0.0..=1e9).contains(&budget.whole);
-        must(whole, of("whole"), "is not a number from 0 to 1000000000")?;
-        must(budget.floor_percent <= 100, of("floor_percent"), "is over 100")?;
-        let burst = (Duration::from_secs(1)..=Duration::from_secs(60)).contains(&budget.burst);
-        must(burst, of("burst"), "is not a span from 1s to 60s")?;
+        let one_unit = budget.at_once.is_some() != budget.per_second.is_some();
+        require(one_unit, of("at_once"), "and per_second: exactly one of them says what is counted")?;
+        let is_rate = budget.per_second != Some(BudgetUnit::Memory);
+        require(is_rate, of("per_second"), "memory is held, not spent: it is counted at_once")?;
+        let whole_ok = budget.whole.is_finite() && (0.0..=1e9).contains(&budget.whole);
+        require(whole_ok, of("whole"), "is not a number from 0 to 1000000000")?;
+        require(budget.floor_percent <= 100, of("floor_percent"), "is over 100")?;
+        let burst_ok = (Duration::from_secs(1)..=Duration::from_secs(60)).contains(&budget.burst);
+        require(burst_ok, of("burst"), "is not a span from 1s to 60s")?;
     }
     Ok(())
 }
 
-/// The line on which a key stands, or what it would stand in; 1 where neither is there.
+/// The line of a key, or of the innermost enclosing block that exists; 1 if there is none.
 fn line_of_key(body: &Body, text: &str, key: &str) -> usize {
     let mut found = 0;
     let mut bodies = vec![body];
-    let mut words = key.split('.').peekable();
-    while let Some(word) = words.next() {
+    let mut segments = key.split('.').peekable();
+    while let Some(segment) = segments.next() {
         let mut next = Vec::new();
         for structure in bodies.iter().flat_map(|body| body.iter()) {
             match structure {
-                Structure::Attribute(attribute) if attribute.key.as_str() == word => {
+                Structure::Attribute(attribute) if attribute.key.as_str() == segment => {
                     found = attribute.span().map_or(found, |span| span.start);
                 }
-                Structure::Block(block) if block.ident.as_str() == word => {
+                Structure::Block(block) if block.ident.as_str() == segment => {
                     let labels: Vec<&str> = block.labels.iter().map(|label| label.as_str()).collect();
-                    if labels.iter().all(|label| words.clone().any(|word| word == *label))
+                    if labels.iter().all(|label| segments.clone().any(|segment| segment == *label))
                         || labels.is_empty()
                     {
                         found = block.span().map_or(found, |span| span.start);
@@ -571,14 +627,14 @@
             }
         }
         if !next.is_empty() {
-            // A label is a word of the path too.
+            // A label is a segment of the path too.
             let labelled = bodies.iter().flat_map(|body| body.iter()).any(|structure| {
                 structure
                     .as_block()
-                    .is_some_and(|block| block.ident.as_str() == word && !block.labels.is_empty())
+                    .is_some_and(|block| block.ident.as_str() == segment && !block.labels.is_empty())
             });
             if labelled {
-                words.next();
+                segments.next();
             }
         }
         bodies = next;
