--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,5 +1,6 @@
-//! A TCP connection that is closed once it has stood idle for too long, whoever holds it: guards against silent
-//! machines that would hold descriptors, and against pooled connections that the other end closes first.
+//! TCP connections that are closed after an idle timeout, whichever task owns them. This guards against
+//! silent peers that would hold file descriptors, and against reusing a pooled connection while the peer
+//! closes it.
 
 use crate::closes::{CloseCounts, CloseReason};
 use crate::exchange::Exchange;
@@ -19,229 +20,253 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::sync::Notify;
 
-/// A process that is at work writes a call's first byte much sooner after it has worked out what goes with it.
-const FIRST_BYTE_WITHIN: Duration = Duration::from_millis(90);
+/// The longest time from computing a request's headers to writing its first byte. A process that was not
+/// paused in between needs far less.
+const FIRST_BYTE_DEADLINE: Duration = Duration::from_millis(90);
 
+/// A client or engine connection with the state of the call that is open on it.
 pub struct Connection {
     stream: RefCell<Option<TcpStream>>,
-    readers: RefCell<Option<Waker>>,
-    /// Idle since; none while a request is open on it.
-    idle: Cell<Option<Instant>>,
-    /// Of a client's: calls that have come whole, since when the next one comes, and whether the line ends of its head are
-    /// what they should be.
-    calls: Cell<u64>,
-    begun: Cell<Option<Instant>>,
-    ends: Cell<Ends>,
-    /// Bytes have come since the call that is open was whole: how their lines end is not looked at.
-    ahead: Cell<bool>,
-    /// No further call is read on it, only so much of the one that was refused as lets the client read why.
-    condemned: Cell<bool>,
-    /// Of a client's: what came behind the head of a call, kept back until that call is open, as it may be no part of it.
-    behind: RefCell<BytesMut>,
-    holds: Cell<bool>,
-    /// Nothing more is written on it.
-    shut: Cell<bool>,
-    /// What may yet be read while a request is open: a client may send ahead, but not without bound.
-    allowed: Cell<usize>,
-    /// Of a connection to an engine: what it may carry. What is read and written then makes it less idle.
+    reader_waker: RefCell<Option<Waker>>,
+    /// Since when the connection is idle; none while a call is open on it.
+    idle_since: Cell<Option<Instant>>,
+    /// Client connections only: the calls opened so far, when the head of the next one began to arrive, and
+    /// how far that head has been scanned for bare line feeds.
+    call_count: Cell<u64>,
+    head_begun_at: Cell<Option<Instant>>,
+    head_scan: Cell<HeadScan>,
+    /// Bytes of the next call have arrived while one is open; their line ends are not checked.
+    read_ahead: Cell<bool>,
+    /// A call was refused: no further call is read, and the rest of that one is discarded so that the client
+    /// can read why.
+    refused: Cell<bool>,
+    /// Client connections only: bytes that arrived after the head of a call, deferred until that call is
+    /// open, as they may not belong to it.
+    deferred: RefCell<BytesMut>,
+    /// The head of a call has arrived and the call is not open yet; nothing more is read meanwhile.
+    head_complete: Cell<bool>,
+    /// The write side is shut down.
+    write_closed: Cell<bool>,
+    /// How many bytes may still be read while a call is open: bounds what a client can send ahead.
+    read_allowance: Cell<usize>,
+    /// Engine connections only: validates the answers. Reads and writes then reset the idle time.
     exchange: Option<RefCell<Exchange>>,
-    /// Bytes of the call that is open, or was last, were written.
-    sent: Cell<bool>,
-    /// Of a connection to an engine: when it was last settled that a call may go out, and whether that was too long before its first byte.
-    asked: Cell<Option<Instant>>,
-    late: Cell<bool>,
-    /// An engine has answered before a call had come whole: nothing more of that is written.
-    early: Cell<bool>,
-    ended: Cell<bool>,
-    end: Notify,
-    /// More waits to be read than may be while a call is open: its end can't be read either.
-    held_back: Cell<bool>,
+    /// The first byte of the current or last call was written.
+    first_byte_sent: Cell<bool>,
+    /// Engine connections only: when the last call was prepared, and whether its first byte came too late
+    /// after that.
+    send_prepared_at: Cell<Option<Instant>>,
+    late_first_byte: Cell<bool>,
+    /// The engine answered before the request was sent completely; the rest of the request is dropped.
+    answered_early: Cell<bool>,
+    peer_ended: Cell<bool>,
+    end_notify: Notify,
+    /// Reading is paused as the allowance of the open call is used up; the end of the stream can't be read
+    /// either.
+    read_paused: Cell<bool>,
     linger: Rc<Linger>,
     close_counts: Rc<CloseCounts>,
 }
 
-/// How far the head of a call has come.
+/// Position of the scan for line ends in the head of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ends {
-    /// Within a line, after a carriage return, after a line's end, after a carriage return there.
-    Within,
-    Return,
-    Begin,
-    BeginReturn,
-    /// The head is over, or none has begun.
-    Over,
+enum HeadScan {
+    InLine,
+    /// After a carriage return within a line.
+    CarriageReturn,
+    LineStart,
+    /// After a carriage return at the start of a line.
+    LineStartCarriageReturn,
+    /// The head is complete, or none has begun.
+    Complete,
     /// A line feed without a carriage return.
-    Odd,
+    BareLineFeed,
 }
 
-impl Ends {
-    fn after(self, byte: u8) -> Ends {
+impl HeadScan {
+    fn after(self, byte: u8) -> HeadScan {
         match (self, byte) {
-            (Ends::Over | Ends::Odd, _) => self,
-            (Ends::BeginReturn, b'\n') => Ends::Over,
-            (Ends::Return, b'\n') => Ends::Begin,
-            (_, b'\n') => Ends::Odd,
-            (Ends::Begin, b'\r') => Ends::BeginReturn,
-            (_, b'\r') => Ends::Return,
-            _ => Ends::Within,
+            (HeadScan::Complete | HeadScan::BareLineFeed, _) => self,
+            (HeadScan::LineStartCarriageReturn, b'\n') => HeadScan::Complete,
+            (HeadScan::CarriageReturn, b'\n') => HeadScan::LineStart,
+            (_, b'\n') => HeadScan::BareLineFeed,
+            (HeadScan::LineStart, b'\r') => HeadScan::LineStartCarriageReturn,
+            (_, b'\r') => HeadScan::CarriageReturn,
+            _ => HeadScan::InLine,
         }
     }
 }
 
-/// Of a call that was refused, read at most.
-const AFTER_REFUSAL: usize = 256 * 1024;
+/// How many bytes of a refused call are read and discarded at most.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 
 impl Connection {
-    /// A request is open on it, and so much more may be read. Tells when it began to come.
+    /// Marks a call as open and allows `allowed` more bytes to be read. Returns when the call began to
+    /// arrive.
     pub fn begin_call(&self, allowed: usize) -> Instant {
-        let idle = self.idle.take().unwrap_or_else(Instant::now);
-        let first = self.calls.replace(self.calls.get() + 1) == 0;
-        let begun = self.begun.take().filter(|_| !first).unwrap_or(if first { idle } else { Instant::now() });
-        self.allowed.set(allowed);
-        self.ahead.set(false);
-        if self.holds.take() {
+        let idle_since = self.idle_since.take().unwrap_or_else(Instant::now);
+        let first = self.call_count.replace(self.call_count.get() + 1) == 0;
+        let begun = self.head_begun_at.take().filter(|_| !first).unwrap_or(if first {
+            idle_since
+        } else {
+            Instant::now()
+        });
+        self.read_allowance.set(allowed);
+        self.read_ahead.set(false);
+        if self.head_complete.take() {
             self.wake();
         }
         begun
     }
 
-    /// So much more of the call that is open may be read.
+    /// Sets how many more bytes of the open call may be read.
     pub fn set_read_allowance(&self, allowed: usize) {
-        self.allowed.set(allowed);
+        self.read_allowance.set(allowed);
     }
 
-    /// The call is here whole: what comes now belongs to the next, and no more than so much of it is read yet.
+    /// The open call has been received completely: what follows belongs to the next call, of which at most
+    /// `allowed` bytes are read for now.
     pub fn call_received(&self, allowed: usize) {
-        self.allowed.set(allowed);
-        self.ahead.set(false);
+        self.read_allowance.set(allowed);
+        self.read_ahead.set(false);
     }
 
-    /// No request is open on it any longer, and its answer is on the way.
+    /// Marks the call as over; its answer is being written.
     pub fn end_call(&self) {
-        self.idle.set(Some(Instant::now()));
-        if self.ahead.get() {
-            self.begun.set(Some(Instant::now()));
-            self.ends.set(Ends::Over);
+        self.idle_since.set(Some(Instant::now()));
+        if self.read_ahead.get() {
+            self.head_begun_at.set(Some(Instant::now()));
+            self.head_scan.set(HeadScan::Complete);
         }
         self.wake();
     }
 
-    /// The call that is open is refused, and the connection with it.
+    /// The open call is refused, and the connection carries no further call.
     pub fn refuse_further_calls(&self) {
-        self.condemned.set(true);
-        self.allowed.set(AFTER_REFUSAL);
+        self.refused.set(true);
+        self.read_allowance.set(MAX_DISCARDED_BYTES);
     }
 
+    /// Whether a call on this connection was refused.
     pub fn is_refused(&self) -> bool {
-        self.condemned.get()
+        self.refused.get()
     }
 
+    /// Whether the head of the call has a line feed without a carriage return.
     pub fn has_bare_line_feed(&self) -> bool {
-        self.ends.get() == Ends::Odd
+        self.head_scan.get() == HeadScan::BareLineFeed
     }
 
-    /// A client's call comes: its head is looked at up to the empty line. Tells how many of the bytes belong to what may be
-    /// read now: behind the head nothing is, until its call is open.
-    fn comes(&self, bytes: &[u8]) -> usize {
-        if self.idle.get().is_none() {
-            self.ahead.set(true);
+    /// Scans the arriving head of a client's call up to the empty line. Returns how many of the bytes may be
+    /// handed on now: what follows the head waits until the call is open.
+    fn scan_head(&self, bytes: &[u8]) -> usize {
+        if self.idle_since.get().is_none() {
+            self.read_ahead.set(true);
             return bytes.len();
         }
-        if self.begun.get().is_none() {
-            self.begun.set(Some(Instant::now()));
-            self.ends.set(Ends::Begin);
+        if self.head_begun_at.get().is_none() {
+            self.head_begun_at.set(Some(Instant::now()));
+            self.head_scan.set(HeadScan::LineStart);
         }
         for (at, byte) in bytes.iter().enumerate() {
-            let before = self.ends.replace(self.ends.get().after(*byte));
-            if before != Ends::Over && self.ends.get() == Ends::Over {
-                self.holds.set(true);
+            let before = self.head_scan.replace(self.head_scan.get().after(*byte));
+            if before != HeadScan::Complete && self.head_scan.get() == HeadScan::Complete {
+                self.head_complete.set(true);
                 return at + 1;
             }
         }
         bytes.len()
     }
 
-    /// Returns once the other end sends no more.
+    /// Returns once the peer has closed its side.
     pub async fn wait_for_end(&self) {
-        while !self.ended.get() {
-            if !self.held_back.get() {
-                self.end.notified().await;
-            } else if self.is_hung_up() {
+        while !self.peer_ended.get() {
+            if !self.read_paused.get() {
+                self.end_notify.notified().await;
+            } else if self.has_hung_up() {
                 return;
             } else {
-                let _ = timeout(HUNG_UP, self.end.notified()).await;
+                let _ = timeout(HANG_UP_CHECK_INTERVAL, self.end_notify.notified()).await;
             }
         }
     }
 
-    /// The other end has closed, whatever is still unread before that.
-    fn is_hung_up(&self) -> bool {
+    /// Whether the peer has closed its side, even with unread bytes before the end.
+    fn has_hung_up(&self) -> bool {
         let stream = self.stream.borrow();
         let ready = stream.as_ref().map(|stream| stream.ready(Interest::READABLE).now_or_never());
         ready.is_none_or(|ready| ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed())))
     }
 
-    fn hear(&self) {
+    /// Resets the idle time of an engine connection.
+    fn touch(&self) {
         if self.exchange.is_some() {
-            self.idle.set(Some(Instant::now()));
+            self.idle_since.set(Some(Instant::now()));
         }
     }
 
-    /// A call is about to be written to an engine.
+    /// Starts the first-byte deadline of a call that is about to be written to an engine.
     pub fn prepare_send(&self) {
-        self.sent.set(false);
-        self.asked.set(Some(Instant::now()));
+        self.first_byte_sent.set(false);
+        self.send_prepared_at.set(Some(Instant::now()));
     }
 
-    /// Whether the call was not written as its first byte came too long after it was asked for: this process stood still in between.
+    /// Whether the call was not written as its first byte was due too long after its preparation, because
+    /// this process was paused in between.
     pub fn was_late(&self) -> bool {
-        self.late.get()
+        self.late_first_byte.get()
     }
 
-    /// What was worked out for a call, such as the time it has left, holds for its first byte.
-    fn check_in_time(&self) -> io::Result<()> {
-        let asked = self.asked.get().filter(|_| !self.sent.get());
-        if asked.is_some_and(|asked| asked.elapsed() > FIRST_BYTE_WITHIN) {
-            self.late.set(true);
+    /// Fails if the first byte of a call is late: what was computed for the call, such as its remaining time,
+    /// is stale then.
+    fn check_first_byte_deadline(&self) -> io::Result<()> {
+        let prepared_at = self.send_prepared_at.get().filter(|_| !self.first_byte_sent.get());
+        if prepared_at.is_some_and(|prepared_at| prepared_at.elapsed() > FIRST_BYTE_DEADLINE) {
+            self.late_first_byte.set(true);
             return Err(io::ErrorKind::TimedOut.into());
         }
         Ok(())
     }
 
+    /// Whether any byte of the current or last call was written.
     pub fn has_sent(&self) -> bool {
-        self.sent.get()
+        self.first_byte_sent.get()
     }
 
-    /// Whether the engine's answer is here though the call has not come whole; from then on nothing more of that is written.
+    /// Whether the engine has begun to answer before the request was sent completely. If so, the rest of the
+    /// request is dropped from then on.
     pub fn check_early_answer(&self) -> bool {
-        let early = self.stream.borrow().as_ref().is_some_and(has_answer);
+        let early = self.stream.borrow().as_ref().is_some_and(answer_begun);
         if early {
-            self.early.set(true);
-            self.exchange.iter().for_each(|exchange| exchange.borrow_mut().spoil());
+            self.answered_early.set(true);
+            self.exchange.iter().for_each(|exchange| exchange.borrow_mut().mark_irregular());
         }
         early
     }
 
-    /// Is here still, and showed nothing irregular: it may carry another call.
+    /// Whether the connection is open, idle and showed nothing irregular, so that it can carry another call.
     pub fn is_reusable(&self) -> bool {
-        self.stream.borrow().is_some() && self.exchange.as_ref().is_some_and(|x| x.borrow().is_free())
+        self.stream.borrow().is_some()
+            && self.exchange.as_ref().is_some_and(|exchange| exchange.borrow().is_reusable())
     }
 
-    /// Before the first byte of a call: a connection that has ended by then, or on which something waits that no call
-    /// asked for, must not carry it. As nothing of the call was written, it may go out on another one.
-    fn check_free(&self, stream: &TcpStream) -> io::Result<()> {
-        let Some(exchange) = self.exchange.as_ref().filter(|_| !self.sent.get()) else { return Ok(()) };
+    /// Fails before the first byte of a call if the connection has ended or holds unsolicited bytes. As
+    /// nothing of the call was written, it can be sent on another connection.
+    fn check_reusable(&self, stream: &TcpStream) -> io::Result<()> {
+        let Some(exchange) = self.exchange.as_ref().filter(|_| !self.first_byte_sent.get()) else {
+            return Ok(());
+        };
         let mut exchange = exchange.borrow_mut();
-        if !exchange.is_free() || !is_quiet(stream) {
-            exchange.spoil();
+        if !exchange.is_reusable() || !is_quiet(stream) {
+            exchange.mark_irregular();
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        exchange.ask();
+        exchange.begin_call();
         Ok(())
     }
 
-    /// Hands on what an engine sent as far as it is good.
-    fn read_answer(
+    /// Reads an engine's answer and hands on the validated part.
+    fn poll_answer(
         &self,
         exchange: &mut Exchange,
         stream: &mut TcpStream,
@@ -249,83 +274,88 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let mut bytes = [0; 4096];
-        // An answer is not handed on before what has come behind it was seen.
+        // An answer is handed on only once the bytes that arrived after it have been checked.
         let ended = loop {
             let mut raw = ReadBuf::new(&mut bytes);
             match Pin::new(&mut *stream).poll_read(cx, &mut raw) {
-                Poll::Ready(Ok(())) if !raw.filled().is_empty() => exchange.hear(raw.filled())?,
+                Poll::Ready(Ok(())) if !raw.filled().is_empty() => exchange.receive(raw.filled())?,
                 Poll::Pending => break Poll::Pending,
-                // awc takes an answer that is cut by its connection's end for a whole one.
+                // awc accepts an answer that is truncated by the end of the connection as complete.
                 ended => {
-                    let whole = !exchange.awaits();
-                    exchange.spoil();
-                    break if whole { ended } else { Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into())) };
+                    let complete = !exchange.awaits_answer();
+                    exchange.mark_irregular();
+                    break if complete {
+                        ended
+                    } else {
+                        Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into()))
+                    };
                 }
             }
-            if exchange.good() >= HELD {
+            if exchange.validated_len() >= MAX_ANSWER_BUFFER {
                 break Poll::Pending;
             }
         };
-        match exchange.pass_on(buf.remaining()) {
-            Some(good) => {
-                buf.put_slice(&good);
+        match exchange.take_validated(buf.remaining()) {
+            Some(validated) => {
+                buf.put_slice(&validated);
                 Poll::Ready(Ok(()))
             }
             None => ended,
         }
     }
 
-    /// A call has begun to come on it in this moment, and is not read yet.
+    /// Whether a call has begun to arrive on the idle connection and is not read yet.
     pub fn has_pending_input(&self) -> bool {
-        let rests = !self.condemned.get() && self.begun.get().is_none();
-        rests && self.stream.borrow().as_ref().is_some_and(|stream| !is_quiet(stream))
+        let is_idle = !self.refused.get() && self.head_begun_at.get().is_none();
+        is_idle && self.stream.borrow().as_ref().is_some_and(|stream| !is_quiet(stream))
     }
 
     fn idle_for(&self) -> Option<Duration> {
-        self.idle.get().map(|since| since.elapsed())
+        self.idle_since.get().map(|since| since.elapsed())
     }
 
-    /// Why it is to be closed, if it has been of no use for too long.
-    fn is_overdue(&self, head_within: Duration, idle: Duration) -> Option<CloseReason> {
-        let rested = self.idle_for()?;
-        if self.condemned.get() {
-            return (rested > LINGER).then_some(CloseReason::Refused);
+    /// The reason to close the connection, if a timeout has passed.
+    fn overdue_reason(&self, head_timeout: Duration, idle_timeout: Duration) -> Option<CloseReason> {
+        let idle_for = self.idle_for()?;
+        if self.refused.get() {
+            return (idle_for > LINGER_TIMEOUT).then_some(CloseReason::Refused);
         }
-        // Who has asked nothing yet is owed no more patience than who asks slowly.
-        match self.begun.get().filter(|_| self.calls.get() > 0) {
-            Some(begun) => (begun.elapsed() > head_within).then_some(CloseReason::SlowHead),
-            None if self.calls.get() == 0 && self.exchange.is_none() => {
-                (rested > head_within).then_some(CloseReason::SlowHead)
+        // A client that has made no call yet gets the same timeout as one that sends its head slowly.
+        match self.head_begun_at.get().filter(|_| self.call_count.get() > 0) {
+            Some(begun) => (begun.elapsed() > head_timeout).then_some(CloseReason::SlowHead),
+            None if self.call_count.get() == 0 && self.exchange.is_none() => {
+                (idle_for > head_timeout).then_some(CloseReason::SlowHead)
             }
-            None => (rested > idle).then_some(CloseReason::Idle),
+            None => (idle_for > idle_timeout).then_some(CloseReason::Idle),
         }
     }
 
     fn wake(&self) {
-        if let Some(waker) = self.readers.borrow_mut().take() {
+        if let Some(waker) = self.reader_waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
-    /// The connection itself; whoever still holds the line finds it closed.
+    /// Takes the socket out; remaining owners find the connection closed.
     pub fn take_stream(&self) -> Option<TcpStream> {
         self.stream.borrow_mut().take()
     }
 
-    /// Nothing more is read that could be carried out. A client's may have sent something in this very moment.
+    /// Closes the connection; no further call is read. A client may be sending at this moment, so its socket
+    /// lingers.
     pub fn close(&self, reason: CloseReason) {
         if let Some(stream) = self.stream.borrow_mut().take() {
             self.close_counts.count(reason);
-            // The run-time check on closing: whoever closes for a reason of this side's must leave an open call alone.
-            let open = self.exchange.is_none() && self.idle.get().is_none() && !self.ended.get();
-            if open && reason != CloseReason::Done && !self.shut.get() && !self.condemned.get() {
+            // Runtime invariant: a close by this side must not hit a connection with an open call.
+            let open = self.exchange.is_none() && self.idle_since.get().is_none() && !self.peer_ended.get();
+            if open && reason != CloseReason::Done && !self.write_closed.get() && !self.refused.get() {
                 self.close_counts.count_unanswered();
             }
             match &self.exchange {
-                None if !self.ended.get() && !self.shut.get() => self.linger.take(stream),
-                // What was sent and has no answer is wanted no longer: after an ordinary close the system would go on sending
-                // it over a path that stands still, and a cancel on another connection would overtake it.
-                Some(exchange) if exchange.borrow().awaits() => {
+                None if !self.peer_ended.get() && !self.write_closed.get() => self.linger.add(stream),
+                // Reset: the unanswered request is no longer wanted. After an ordinary close the kernel would
+                // keep sending it over a stalled path, and a cancel on another connection would overtake it.
+                Some(exchange) if exchange.borrow().awaits_answer() => {
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 }
                 _ => {}
@@ -334,84 +364,86 @@
         self.wake();
     }
 
-    /// A client's next bytes, from what was kept back or from the connection.
-    fn read_call(
+    /// Reads a client's next bytes, from the deferred ones or from the socket.
+    fn poll_call(
         &self,
         stream: &mut TcpStream,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let behind = &mut *self.behind.borrow_mut();
-        if behind.is_empty() {
+        let deferred = &mut *self.deferred.borrow_mut();
+        if deferred.is_empty() {
             std::task::ready!(Pin::new(stream).poll_read(cx, buf))?;
         } else {
-            let length = behind.len().min(buf.remaining());
-            buf.put_slice(&behind[..length]);
-            behind.advance(length);
+            let length = deferred.len().min(buf.remaining());
+            buf.put_slice(&deferred[..length]);
+            deferred.advance(length);
         }
         let length = buf.filled().len() - before;
         if length == 0 {
-            self.ended.set(true);
-            self.end.notify_one();
+            self.peer_ended.set(true);
+            self.end_notify.notify_one();
             return Poll::Ready(Ok(()));
         }
-        self.allowed.set(self.allowed.get().saturating_sub(length));
-        let now = self.comes(&buf.filled()[before..]);
-        if now < length {
-            let rest = BytesMut::from(&buf.filled()[before + now..]);
-            let later = std::mem::replace(behind, rest);
-            behind.extend_from_slice(&later);
-            buf.set_filled(before + now);
+        self.read_allowance.set(self.read_allowance.get().saturating_sub(length));
+        let readable = self.scan_head(&buf.filled()[before..]);
+        if readable < length {
+            let rest = BytesMut::from(&buf.filled()[before + readable..]);
+            let following = std::mem::replace(deferred, rest);
+            deferred.extend_from_slice(&following);
+            buf.set_filled(before + readable);
         }
         Poll::Ready(Ok(()))
     }
 
-    /// What still comes behind a refusal is read and dropped, up to a bound, so that the refusal can be read.
-    fn read_out(&self, stream: &mut TcpStream, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.behind.borrow_mut().clear();
+    /// Reads and discards what a client still sends after a refusal, up to a bound, so that it can read the
+    /// refusal.
+    fn poll_discard(&self, stream: &mut TcpStream, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.deferred.borrow_mut().clear();
         let mut bytes = [0; 4096];
-        while self.allowed.get() > 0 {
+        while self.read_allowance.get() > 0 {
             let mut read = ReadBuf::new(&mut bytes);
-            let came = std::task::ready!(Pin::new(&mut *stream).poll_read(cx, &mut read));
-            if came.is_err() || read.filled().is_empty() {
-                self.ended.set(true);
-                self.end.notify_one();
-                return Poll::Ready(came);
+            let result = std::task::ready!(Pin::new(&mut *stream).poll_read(cx, &mut read));
+            if result.is_err() || read.filled().is_empty() {
+                self.peer_ended.set(true);
+                self.end_notify.notify_one();
+                return Poll::Ready(result);
             }
-            self.allowed.set(self.allowed.get().saturating_sub(read.filled().len()));
+            self.read_allowance.set(self.read_allowance.get().saturating_sub(read.filled().len()));
         }
         Poll::Pending
     }
 }
 
-/// How often it is looked whether the other end has closed behind more than is read.
-const HUNG_UP: Duration = Duration::from_millis(30);
-/// How often connections that were let go are read out.
-const READ_OUT: Duration = Duration::from_millis(10);
+/// How often a connection with paused reads is checked for a close by the peer.
+const HANG_UP_CHECK_INTERVAL: Duration = Duration::from_millis(30);
+/// How often lingering connections are read.
+const LINGER_READ_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Connections that were let go: shut for writing at once, and read out before they are closed, as a close over unread bytes is
-/// a reset, which takes an answer with it that is still on its way. Nothing that is read here is carried out. Bounded by
-/// `most`, the oldest goes first; emptied of each as its other end closes, and after `LINGER`.
+/// Connections in a lingering close: shut down for writing at once, then read until the peer closes, as
+/// closing with unread bytes sends a reset, which destroys an answer that is still on its way. What is read
+/// is discarded. A connection is dropped once its peer has closed, after `LINGER_TIMEOUT`, or as the oldest
+/// when there are more than `max_streams`.
 pub struct Linger {
     streams: RefCell<VecDeque<Lingering>>,
-    most: Cell<usize>,
-    some: Notify,
+    max_streams: Cell<usize>,
+    stream_added: Notify,
 }
 
 struct Lingering {
     stream: TcpStream,
-    since: Instant,
-    read: usize,
+    released_at: Instant,
+    bytes_read: usize,
 }
 
 impl Lingering {
-    fn is_over(&mut self) -> bool {
+    fn is_finished(&mut self) -> bool {
         let mut bytes = [0; 4096];
-        while self.since.elapsed() < LINGER && self.read < AFTER_REFUSAL {
+        while self.released_at.elapsed() < LINGER_TIMEOUT && self.bytes_read < MAX_DISCARDED_BYTES {
             match self.stream.try_read(&mut bytes) {
                 Ok(0) => return true,
-                Ok(read) => self.read += read,
+                Ok(read) => self.bytes_read += read,
                 Err(error) => return error.kind() != io::ErrorKind::WouldBlock,
             }
         }
@@ -420,58 +452,66 @@
 }
 
 impl Linger {
-    fn new(most: usize) -> Rc<Linger> {
-        Rc::new(Linger { streams: RefCell::default(), most: Cell::new(most), some: Notify::new() })
+    fn new(max_streams: usize) -> Rc<Linger> {
+        Rc::new(Linger {
+            streams: RefCell::default(),
+            max_streams: Cell::new(max_streams),
+            stream_added: Notify::new(),
+        })
     }
 
-    fn take(&self, stream: TcpStream) {
+    fn add(&self, stream: TcpStream) {
         if socket2::SockRef::from(&stream).shutdown(Shutdown::Write).is_err() {
             return;
         }
         let mut streams = self.streams.borrow_mut();
-        if streams.len() >= self.most.get() {
+        if streams.len() >= self.max_streams.get() {
             streams.pop_front();
         }
-        streams.push_back(Lingering { stream, since: Instant::now(), read: 0 });
-        self.some.notify_one();
+        streams.push_back(Lingering { stream, released_at: Instant::now(), bytes_read: 0 });
+        self.stream_added.notify_one();
     }
 
+    /// The number of lingering connections.
     pub fn count(&self) -> usize {
         self.streams.borrow().len()
     }
 
-    /// Reads them out for as long as it is polled.
+    /// Reads the lingering connections for as long as it is polled.
     pub async fn run(&self) {
         loop {
-            self.some.notified().await;
+            self.stream_added.notified().await;
             while self.count() > 0 {
-                self.streams.borrow_mut().retain_mut(|lingering| !lingering.is_over());
-                sleep(READ_OUT).await;
+                self.streams.borrow_mut().retain_mut(|lingering| !lingering.is_finished());
+                sleep(LINGER_READ_INTERVAL).await;
             }
         }
     }
 }
 
-/// Nothing has come on it that was not read, and neither has its end.
+/// Whether neither unread bytes nor the end of the stream wait on the socket.
 pub fn is_quiet(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
-    let waits = socket2::SockRef::from(stream).peek(&mut byte);
-    waits.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+    let peeked = socket2::SockRef::from(stream).peek(&mut byte);
+    peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// An answer has begun to come, and not only a head on the way to one.
-fn has_answer(stream: &TcpStream) -> bool {
+/// Whether a final answer has begun to arrive, other than a 1xx head.
+fn answer_begun(stream: &TcpStream) -> bool {
     let mut bytes = [0; 10];
-    let came = rustix::net::recv(stream, &mut bytes[..], rustix::net::RecvFlags::PEEK);
-    came.is_ok_and(|(_, came)| came == bytes.len()) && bytes.starts_with(b"HTTP/1.1 ") && bytes[9] != b'1'
+    let peeked = rustix::net::recv(stream, &mut bytes[..], rustix::net::RecvFlags::PEEK);
+    peeked.is_ok_and(|(_, length)| length == bytes.len())
+        && bytes.starts_with(b"HTTP/1.1 ")
+        && bytes[9] != b'1'
 }
 
-/// Of what an engine sent, held at most before it is handed on.
-const HELD: usize = 16 * 1024;
+/// How many validated bytes of an answer are buffered before they are handed on.
+const MAX_ANSWER_BUFFER: usize = 16 * 1024;
 
+/// The stream of a connection as the HTTP server and client use it.
 pub struct TrackedStream(pub Rc<Connection>);
 
-/// Whoever else still knows of the connection, it is closed with this.
+/// Closes the connection, even if it has further owners.
 impl Drop for TrackedStream {
     fn drop(&mut self) {
         self.0.close(CloseReason::Done);
@@ -484,71 +524,73 @@
     }
 }
 
-/// How long a client may read a refusal before its connection is closed.
-const LINGER: Duration = Duration::from_secs(1);
+/// How long a client has to read a refusal before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The connections of one side, and how long one may stand idle.
+/// All connections of one kind (clients or engines) with their timeouts.
 pub struct Connections {
     connections: RefCell<Vec<Weak<Connection>>>,
     pub linger: Rc<Linger>,
     pub close_counts: Rc<CloseCounts>,
-    /// Of clients: how long the head of a call may take to come.
-    head_within: Duration,
-    idle: Duration,
-    /// Of connections to engines: the longest answer.
-    answer: Option<usize>,
+    /// Client connections only: how long the head of a call may take to arrive.
+    head_timeout: Duration,
+    idle_timeout: Duration,
+    /// Engine connections only: the longest answer, in bytes.
+    max_answer: Option<usize>,
 }
 
 impl Connections {
-    /// `most`: those that are let go at once.
-    pub fn for_clients(most: usize, head_within: Duration, idle: Duration) -> Connections {
-        let linger = Linger::new(most);
+    /// `max_lingering`: how many connections may be in a lingering close at once.
+    pub fn for_clients(max_lingering: usize, head_timeout: Duration, idle_timeout: Duration) -> Connections {
+        let linger = Linger::new(max_lingering);
         Connections {
             connections: RefCell::default(),
             linger,
             close_counts: Rc::default(),
-            head_within,
-            idle,
-            answer: None,
+            head_timeout,
+            idle_timeout,
+            max_answer: None,
         }
     }
 
-    pub fn for_engines(answer: usize, idle: Duration) -> Connections {
+    /// `max_answer`: the longest answer of an engine, in bytes.
+    pub fn for_engines(max_answer: usize, idle_timeout: Duration) -> Connections {
         let linger = Linger::new(0);
         Connections {
             connections: RefCell::default(),
             linger,
             close_counts: Rc::default(),
-            head_within: idle,
-            idle,
-            answer: Some(answer),
+            head_timeout: idle_timeout,
+            idle_timeout,
+            max_answer: Some(max_answer),
         }
     }
 
+    /// Adds a connection to the set.
     pub fn track(&self, stream: TcpStream) -> TrackedStream {
-        // Without it an answer of several segments waits for acknowledgements.
+        // With Nagle's algorithm an answer of several segments waits for acknowledgements.
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(Connection {
             stream: RefCell::new(Some(stream)),
-            readers: RefCell::default(),
-            idle: Cell::new(Some(Instant::now())),
-            calls: Cell::new(0),
-            begun: Cell::new(None),
-            ends: Cell::new(Ends::Over),
-            ahead: Cell::new(false),
-            condemned: Cell::new(false),
-            shut: Cell::new(false),
-            allowed: Cell::new(0),
-            exchange: self.answer.map(|most| RefCell::new(Exchange::new(most))),
-            sent: Cell::new(false),
-            asked: Cell::new(None),
-            late: Cell::new(false),
-            early: Cell::new(false),
-            ended: Cell::new(false),
-            end: Notify::new(),
-            behind: RefCell::default(),
-            holds: Cell::new(false),
-            held_back: Cell::new(false),
+            reader_waker: RefCell::default(),
+            idle_since: Cell::new(Some(Instant::now())),
+            call_count: Cell::new(0),
+            head_begun_at: Cell::new(None),
+            head_scan: Cell::new(HeadScan::Complete),
+            read_ahead: Cell::new(false),
+            refused: Cell::new(false),
+            write_closed: Cell::new(false),
+            read_allowance: Cell::new(0),
+            exchange: self.max_answer.map(|max_answer| RefCell::new(Exchange::new(max_answer))),
+            first_byte_sent: Cell::new(false),
+            send_prepared_at: Cell::new(None),
+            late_first_byte: Cell::new(false),
+            answered_early: Cell::new(false),
+            peer_ended: Cell::new(false),
+            end_notify: Notify::new(),
+            deferred: RefCell::default(),
+            head_complete: Cell::new(false),
+            read_paused: Cell::new(false),
             linger: self.linger.clone(),
             close_counts: self.close_counts.clone(),
         });
@@ -556,10 +598,11 @@
         TrackedStream(connection)
     }
 
-    /// Closes what has been idle for too long; to be called now and then. What has just come is read first.
+    /// Closes connections whose timeout has passed, unless unread bytes wait on them. To be called
+    /// periodically.
     pub fn close_idle(&self) {
         for connection in self.live() {
-            if let Some(reason) = connection.is_overdue(self.head_within, self.idle) {
+            if let Some(reason) = connection.overdue_reason(self.head_timeout, self.idle_timeout) {
                 if !connection.has_pending_input() {
                     connection.close(reason);
                 }
@@ -568,40 +611,44 @@
         self.connections.borrow_mut().retain(|connection| connection.strong_count() > 0);
     }
 
-    /// Closes one that no call is open on: one that was refused, or else the oldest that has asked nothing, if for
-    /// `settled`; or else the one that has asked and rested longest, if for `rested`. False where there is none such.
-    pub fn close_one_idle(&self, settled: Duration, rested: Duration) -> bool {
+    /// Closes one connection without an open call: a refused one, else the one that has been idle longest
+    /// without ever making a call (for `unused_for` at least), else the one that has been idle longest since
+    /// its last call (for `idle_for` at least). Returns false where there is none.
+    pub fn close_one_idle(&self, unused_for: Duration, idle_for: Duration) -> bool {
         let idle =
             self.live().into_iter().filter_map(|connection| Some((connection.idle_for()?, connection)));
-        let rank = |connection: &Connection| (connection.condemned.get(), connection.calls.get() == 0);
-        let old = idle.filter(|(idle, connection)| {
-            *idle >= if rank(connection) == (false, false) { rested } else { settled }
+        let rank = |connection: &Connection| (connection.refused.get(), connection.call_count.get() == 0);
+        let closable = idle.filter(|(idle, connection)| {
+            *idle >= if rank(connection) == (false, false) { idle_for } else { unused_for }
         });
-        let old = old.filter(|(_, connection)| !connection.has_pending_input());
-        match old.max_by_key(|(idle, connection)| (rank(connection), *idle)) {
+        let closable = closable.filter(|(_, connection)| !connection.has_pending_input());
+        match closable.max_by_key(|(idle, connection)| (rank(connection), *idle)) {
             Some((_, connection)) => connection.close(CloseReason::AtBound),
             None => return false,
         }
         true
     }
 
+    /// Closes all connections for shutdown.
     pub fn close_all(&self) {
         self.live().iter().for_each(|connection| connection.close(CloseReason::ShutDown));
     }
 
-    /// Lets all go at once: no new ones come that would need their descriptors.
+    /// Closes all connections with an unbounded lingering close: no new ones arrive that would need their
+    /// descriptors.
     pub fn close_all_at_shutdown(&self) {
-        self.linger.most.set(usize::MAX);
+        self.linger.max_streams.set(usize::MAX);
         self.close_all();
     }
 
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.live().len()
     }
 
-    /// Of clients' connections, those that a call is open on.
+    /// The number of client connections with an open call.
     pub fn open_calls(&self) -> usize {
-        self.live().iter().filter(|connection| connection.idle.get().is_none()).count()
+        self.live().iter().filter(|connection| connection.idle_since.get().is_none()).count()
     }
 
     fn live(&self) -> Vec<Rc<Connection>> {
@@ -617,40 +664,41 @@
 impl AsyncRead for TrackedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let connection = &self.0;
-        let bounded = connection.idle.get().is_none() || connection.condemned.get();
-        let held_back = bounded && connection.allowed.get() == 0;
+        let bounded = connection.idle_since.get().is_none() || connection.refused.get();
+        let allowance_used_up = bounded && connection.read_allowance.get() == 0;
         let mut stream = connection.stream.borrow_mut();
         let Some(stream) = stream.as_mut() else {
-            // An answer that we cut ourselves is no whole one either.
+            // An answer that this side cut off is incomplete too.
             let cut = || Err(io::ErrorKind::ConnectionAborted.into());
             return Poll::Ready(connection.exchange.as_ref().map_or(Ok(()), |_| cut()));
         };
         if let Some(exchange) = &connection.exchange {
-            let read = connection.read_answer(&mut exchange.borrow_mut(), stream, cx, buf);
+            let read = connection.poll_answer(&mut exchange.borrow_mut(), stream, cx, buf);
             match &read {
-                Poll::Pending => *connection.readers.borrow_mut() = Some(cx.waker().clone()),
-                Poll::Ready(_) => connection.hear(),
+                Poll::Pending => *connection.reader_waker.borrow_mut() = Some(cx.waker().clone()),
+                Poll::Ready(_) => connection.touch(),
             }
             return read;
         }
-        let held = held_back && connection.idle.get().is_none();
-        // Once as it begins: whoever waits for the end may be polled by what polls this, and would wake it for ever.
-        let newly_held = held && !connection.held_back.replace(held);
-        connection.held_back.set(held);
-        let read = if connection.condemned.get() {
-            connection.read_out(stream, cx)
-        } else if held_back || connection.holds.get() {
+        let paused = allowance_used_up && connection.idle_since.get().is_none();
+        // Notify only when the pause begins: `wait_for_end` may run in the task that polls this, and would
+        // wake it for ever.
+        let newly_paused = paused && !connection.read_paused.replace(paused);
+        connection.read_paused.set(paused);
+        let read = if connection.refused.get() {
+            connection.poll_discard(stream, cx)
+        } else if allowance_used_up || connection.head_complete.get() {
             Poll::Pending
         } else {
-            connection.read_call(stream, cx, buf)
+            connection.poll_call(stream, cx, buf)
         };
         match &read {
-            Poll::Pending => *connection.readers.borrow_mut() = Some(cx.waker().clone()),
+            Poll::Pending => *connection.reader_waker.borrow_mut() = Some(cx.waker().clone()),
             Poll::Ready(Ok(())) => {}
-            Poll::Ready(Err(_)) => connection.ended.set(true),
+            Poll::Ready(Err(_)) => connection.peer_ended.set(true),
         }
-        if connection.ended.get() || newly_held {
-            connection.end.notify_one();
+        if connection.peer_ended.get() || newly_paused {
+            connection.end_notify.notify_one();
         }
         read
     }
@@ -659,28 +707,30 @@
 impl AsyncWrite for TrackedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let connection = &self.0;
-        connection.hear();
+        connection.touch();
         let mut stream = connection.stream.borrow_mut();
         let Some(stream) = stream.as_mut() else {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         };
-        if connection.early.get() {
+        if connection.answered_early.get() {
             return Poll::Ready(Ok(buf.len()));
         }
-        connection.check_in_time()?;
-        connection.check_free(stream)?;
+        connection.check_first_byte_deadline()?;
+        connection.check_reusable(stream)?;
         let mut written = Pin::new(&mut *stream).poll_write(cx, buf);
-        // An engine that answers and closes resets what still comes: its answer waits here all the same.
+        // An engine that answers and closes resets the rest of the request; its answer can still be read.
         if matches!(written, Poll::Ready(Err(_)))
             && connection.exchange.is_some()
-            && connection.sent.get()
-            && has_answer(stream)
+            && connection.first_byte_sent.get()
+            && answer_begun(stream)
         {
-            connection.early.set(true);
-            connection.exchange.iter().for_each(|exchange| exchange.borrow_mut().spoil());
+            connection.answered_early.set(true);
+            connection.exchange.iter().for_each(|exchange| exchange.borrow_mut().mark_irregular());
             written = Poll::Ready(Ok(buf.len()));
         }
-        connection.sent.set(connection.sent.get() || matches!(written, Poll::Ready(Ok(1..))));
+        connection
+            .first_byte_sent
+            .set(connection.first_byte_sent.get() || matches!(written, Poll::Ready(Ok(1..))));
         written
     }
 
@@ -691,8 +741,8 @@
         }
     }
 
-    /// A connection that is closed while something on it is unread is reset, and what was written last is lost with it: so
-    /// the client gets some time to read, and what it still sends is read up to a bound.
+    /// Closing a connection with unread bytes resets it, and what was written last is lost. So the client
+    /// gets some time to read the answer, and what it still sends is read and discarded up to a bound.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let connection = self.0.clone();
         if connection.exchange.is_some() {
@@ -701,14 +751,14 @@
                 None => Poll::Ready(Ok(())),
             };
         }
-        if !connection.shut.replace(true) {
+        if !connection.write_closed.replace(true) {
             if let Some(stream) = connection.stream.borrow_mut().as_mut() {
                 std::task::ready!(Pin::new(stream).poll_shutdown(cx))?;
             }
-            if !connection.condemned.replace(true) {
-                connection.allowed.set(AFTER_REFUSAL);
+            if !connection.refused.replace(true) {
+                connection.read_allowance.set(MAX_DISCARDED_BYTES);
             }
-            connection.idle.set(Some(Instant::now()));
+            connection.idle_since.set(Some(Instant::now()));
         }
         let mut bytes = [0; 4096];
         let this = self.get_mut();
--- a/crates/gateway/src/connection/tests.rs
+++ b/crates/gateway/src/connection/tests.rs
@@ -4,24 +4,24 @@
 
 const LONG: Duration = Duration::from_secs(60);
 
-/// The other end of a new link, and the link.
+/// The peer of a new connection, and its tracked stream.
 async fn pair(connections: &Connections) -> (TcpStream, TrackedStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let there = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    (there, connections.track(listener.accept().await.unwrap().0))
+    let peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    (peer, connections.track(listener.accept().await.unwrap().0))
 }
 
 #[actix_rt::test]
-async fn what_is_idle_is_closed_and_its_reader_woken_and_what_is_open_is_not() {
+async fn idle_connections_are_closed_and_their_readers_woken_unless_a_call_is_open() {
     let connections = Connections::for_clients(4, Duration::ZERO, Duration::ZERO);
-    let (mut there, mut idle) = pair(&connections).await;
-    let (_busy_there, busy) = pair(&connections).await;
+    let (mut peer, mut idle) = pair(&connections).await;
+    let (_busy_peer, busy) = pair(&connections).await;
     busy.0.begin_call(10);
     let reader = actix_rt::spawn(async move { idle.read(&mut [0; 8]).await });
     tokio::task::yield_now().await;
     connections.close_idle();
     assert_eq!(reader.await.unwrap().unwrap(), 0);
-    assert_eq!(there.read(&mut [0; 8]).await.unwrap(), 0);
+    assert_eq!(peer.read(&mut [0; 8]).await.unwrap(), 0);
     assert_eq!(connections.count(), 1);
     assert!(!connections.close_one_idle(Duration::ZERO, Duration::ZERO));
     busy.0.end_call();
@@ -30,20 +30,20 @@
 }
 
 #[actix_rt::test]
-async fn no_more_is_read_ahead_than_allowed_while_a_call_is_open() {
+async fn reading_ahead_is_bounded_while_a_call_is_open() {
     let connections = Connections::for_clients(4, LONG, LONG);
-    let (there, mut link) = pair(&connections).await;
-    link.0.begin_call(4);
-    there.writable().await.unwrap();
-    assert_eq!(there.try_write(b"12345678").unwrap(), 8);
-    let connection = link.0.clone();
+    let (peer, mut stream) = pair(&connections).await;
+    stream.0.begin_call(4);
+    peer.writable().await.unwrap();
+    assert_eq!(peer.try_write(b"12345678").unwrap(), 8);
+    let connection = stream.0.clone();
     let reader = actix_rt::spawn(async move {
         let mut bytes = [0; 4];
-        link.read_exact(&mut bytes).await.unwrap();
-        link.read_exact(&mut bytes).await.unwrap();
+        stream.read_exact(&mut bytes).await.unwrap();
+        stream.read_exact(&mut bytes).await.unwrap();
         bytes
     });
-    while connection.allowed.get() > 0 {
+    while connection.read_allowance.get() > 0 {
         tokio::task::yield_now().await;
     }
     tokio::task::yield_now().await;
@@ -52,97 +52,97 @@
     assert_eq!(&reader.await.unwrap(), b"5678");
 }
 
-/// A call must not go out on a connection that has ended or holds what no call asked for; nothing of it is written then.
+/// A call must not be written to a connection that has ended or holds unsolicited bytes.
 #[actix_rt::test]
-async fn a_call_goes_out_on_a_quiet_connection_only() {
+async fn a_call_is_written_only_to_a_quiet_connection() {
     use tokio::io::AsyncWriteExt as _;
     let connections = Connections::for_engines(100, LONG);
-    let (mut there, mut quiet) = pair(&connections).await;
+    let (mut peer, mut quiet) = pair(&connections).await;
     quiet.write_all(b"call").await.unwrap();
     let mut bytes = [0; 4];
-    there.read_exact(&mut bytes).await.unwrap();
+    peer.read_exact(&mut bytes).await.unwrap();
     assert!(&bytes == b"call" && quiet.0.has_sent() && !quiet.0.is_reusable());
     quiet.0.close(CloseReason::Done);
     assert!(quiet.read(&mut bytes).await.is_err());
     for ended in [true, false] {
-        let (mut there, mut link) = pair(&connections).await;
-        there.write_all(b"HTTP/1.1 200 X\r\n").await.unwrap();
+        let (mut peer, mut stream) = pair(&connections).await;
+        peer.write_all(b"HTTP/1.1 200 X\r\n").await.unwrap();
         if ended {
-            drop(there);
+            drop(peer);
         }
-        while is_quiet(link.0.stream.borrow().as_ref().unwrap()) {
+        while is_quiet(stream.0.stream.borrow().as_ref().unwrap()) {
             tokio::task::yield_now().await;
         }
-        assert!(link.write_all(b"call").await.is_err() && !link.0.has_sent() && !link.0.is_reusable());
+        assert!(stream.write_all(b"call").await.is_err() && !stream.0.has_sent() && !stream.0.is_reusable());
     }
 }
 
-/// Guards against a call that goes out by what was worked out before a pause of this process.
+/// Guards against sending a call with headers that were computed before a pause of this process.
 #[actix_rt::test]
 async fn a_call_whose_first_byte_is_late_is_not_written() {
     use tokio::io::AsyncWriteExt as _;
     let connections = Connections::for_engines(100, LONG);
-    let (mut there, mut link) = pair(&connections).await;
-    link.0.prepare_send();
-    link.0.asked.set(Instant::now().checked_sub(FIRST_BYTE_WITHIN + Duration::from_millis(1)));
-    assert!(link.write_all(b"call").await.is_err() && link.0.was_late() && !link.0.has_sent());
-    drop(link);
+    let (mut peer, mut stream) = pair(&connections).await;
+    stream.0.prepare_send();
+    stream.0.send_prepared_at.set(Instant::now().checked_sub(FIRST_BYTE_DEADLINE + Duration::from_millis(1)));
+    assert!(stream.write_all(b"call").await.is_err() && stream.0.was_late() && !stream.0.has_sent());
+    drop(stream);
     let mut bytes = [0; 4];
-    assert_eq!(there.read(&mut bytes).await.unwrap(), 0);
-    // Once its first byte is out the rest may take its time.
-    let (mut there, mut link) = pair(&connections).await;
-    link.0.prepare_send();
-    link.write_all(b"ca").await.unwrap();
-    link.0.asked.set(Instant::now().checked_sub(LONG));
-    link.write_all(b"ll").await.unwrap();
-    there.read_exact(&mut bytes).await.unwrap();
-    assert!(&bytes == b"call" && !link.0.was_late());
+    assert_eq!(peer.read(&mut bytes).await.unwrap(), 0);
+    // After the first byte there is no deadline for the rest.
+    let (mut peer, mut stream) = pair(&connections).await;
+    stream.0.prepare_send();
+    stream.write_all(b"ca").await.unwrap();
+    stream.0.send_prepared_at.set(Instant::now().checked_sub(LONG));
+    stream.write_all(b"ll").await.unwrap();
+    peer.read_exact(&mut bytes).await.unwrap();
+    assert!(&bytes == b"call" && !stream.0.was_late());
 }
 
-/// What is let go is shut for writing and read out: bytes that came in this very moment cost the client no answer by a reset, and
-/// nothing of them is handed on.
+/// A closed connection is shut down for writing and drained: bytes that arrive during the close must not
+/// destroy the answer by a reset, and none of them is handed on.
 #[actix_rt::test]
-async fn a_connection_is_let_go_without_a_reset_over_unread_bytes() {
+async fn unread_bytes_do_not_reset_a_closed_connection() {
     use tokio::io::AsyncWriteExt as _;
     let connections = Connections::for_clients(4, LONG, LONG);
     let linger = connections.linger.clone();
     actix_rt::spawn(async move { linger.run().await });
-    let (mut there, mut link) = pair(&connections).await;
-    link.write_all(b"answer").await.unwrap();
-    there.write_all(b"half a call").await.unwrap();
-    while is_quiet(link.0.stream.borrow().as_ref().unwrap()) {
+    let (mut peer, mut stream) = pair(&connections).await;
+    stream.write_all(b"answer").await.unwrap();
+    peer.write_all(b"half a call").await.unwrap();
+    while is_quiet(stream.0.stream.borrow().as_ref().unwrap()) {
         tokio::task::yield_now().await;
     }
-    link.0.close(CloseReason::Done);
-    assert_eq!(link.read(&mut [0; 8]).await.unwrap(), 0);
-    there.write_all(b", and its rest").await.unwrap();
+    stream.0.close(CloseReason::Done);
+    assert_eq!(stream.read(&mut [0; 8]).await.unwrap(), 0);
+    peer.write_all(b", and its rest").await.unwrap();
     let mut read = Vec::new();
-    there.read_to_end(&mut read).await.unwrap();
+    peer.read_to_end(&mut read).await.unwrap();
     assert_eq!(read, b"answer");
-    drop(there);
+    drop(peer);
     while connections.linger.count() > 0 {
         tokio::task::yield_now().await;
     }
-    // Those that are let go at once are bounded, the oldest goes first.
+    // The number of lingering connections is bounded; the oldest is dropped first.
     let mut others = Vec::new();
     for _ in 0..9 {
-        let (there, link) = pair(&connections).await;
-        link.0.close(CloseReason::Done);
-        others.push(there);
+        let (peer, stream) = pair(&connections).await;
+        stream.0.close(CloseReason::Done);
+        others.push(peer);
     }
     assert_eq!(connections.linger.count(), 4);
 }
 
-/// On a connection that rests, a call that has begun to come is read before it is closed for its age or to make room.
+/// An idle connection on which a call has begun to arrive is not closed, neither by timeout nor to make room.
 #[actix_rt::test]
-async fn a_call_that_comes_in_the_moment_of_the_close_is_read() {
+async fn a_connection_with_an_unread_call_is_not_closed_as_idle() {
     use tokio::io::AsyncWriteExt as _;
     let connections = Connections::for_clients(4, Duration::ZERO, Duration::ZERO);
-    let (mut there, link) = pair(&connections).await;
-    link.0.begin_call(10);
-    link.0.end_call();
-    there.write_all(b"POST").await.unwrap();
-    while is_quiet(link.0.stream.borrow().as_ref().unwrap()) {
+    let (mut peer, stream) = pair(&connections).await;
+    stream.0.begin_call(10);
+    stream.0.end_call();
+    peer.write_all(b"POST").await.unwrap();
+    while is_quiet(stream.0.stream.borrow().as_ref().unwrap()) {
         tokio::task::yield_now().await;
     }
     connections.close_idle();
@@ -150,31 +150,31 @@
     assert_eq!(connections.count(), 1);
 }
 
-/// Small writes are never held back by the system: a close over unread bytes would take them with it.
+/// Small writes must not be delayed by the kernel: closing with unread bytes would drop them.
 #[actix_rt::test]
-async fn nothing_is_held_back_on_either_side() {
+async fn nagle_algorithm_is_disabled_on_both_sides() {
     for connections in [Connections::for_clients(4, LONG, LONG), Connections::for_engines(100, LONG)] {
-        let (_there, link) = pair(&connections).await;
-        assert!(link.0.stream.borrow().as_ref().unwrap().nodelay().unwrap());
+        let (_peer, stream) = pair(&connections).await;
+        assert!(stream.0.stream.borrow().as_ref().unwrap().nodelay().unwrap());
     }
 }
 
-/// Waiting for the end of a connection on which more waits than may be read costs a look now and then, not the core.
+/// Waiting for the end of a connection with paused reads polls it periodically instead of spinning.
 #[actix_rt::test]
-async fn a_connection_that_is_held_back_is_looked_at_now_and_then() {
+async fn waiting_for_the_end_of_a_paused_connection_does_not_spin() {
     use std::future::Future as _;
     let connections = Connections::for_clients(4, LONG, LONG);
-    let (_there, mut link) = pair(&connections).await;
-    link.0.begin_call(0);
-    let connection = link.0.clone();
+    let (_peer, mut stream) = pair(&connections).await;
+    stream.0.begin_call(0);
+    let connection = stream.0.clone();
     let mut ended = std::pin::pin!(connection.wait_for_end());
     let mut polls = 0;
-    // As a server's task does, one thing polls both.
+    // One task polls both, as in the server.
     let both = std::future::poll_fn(|cx| {
         polls += 1;
-        let _ = Pin::new(&mut link).poll_read(cx, &mut ReadBuf::new(&mut [0; 8]));
+        let _ = Pin::new(&mut stream).poll_read(cx, &mut ReadBuf::new(&mut [0; 8]));
         ended.as_mut().poll(cx)
     });
-    assert!(timeout(10 * HUNG_UP, both).await.is_err());
+    assert!(timeout(10 * HANG_UP_CHECK_INTERVAL, both).await.is_err());
     assert!((3..30).contains(&polls), "{polls} polls");
 }
