--- a/crates/gateway/src/trace.rs
+++ b/crates/gateway/src/trace.rs
@@ -45,14 +45,14 @@
             }
             Input::ClientDisconnected(id) => slog::debug!(self.log, "client left"; "id" => &**id),
             Input::ClientAway(id, absent) => {
-                slog::debug!(self.log, "client between calls"; "id" => &**id, "absent" => absent);
+                slog::debug!(self.log, "client started or stopped polling"; "id" => &**id, "absent" => absent);
             }
             Input::ExecutionEnded { id, execution, result } => self.ended(id, *execution, result),
             Input::ExecutionArrived { id, execution } => {
                 slog::debug!(self.log, "attempt arrived"; "id" => &**id, "execution" => execution);
             }
             Input::CancelFinished { id, execution, outcome } => {
-                slog::debug!(self.log, "attempt given up, engine told"; "id" => &**id, "execution" => execution,
+                slog::debug!(self.log, "attempt given up, engine notified"; "id" => &**id, "execution" => execution,
                     "after" => ?outcome);
             }
             _ => {}
