--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -1,5 +1,5 @@
-//! The rare moments at which something is still owed: clients that go, cancels that break off, closes, quiet lists. Each test
-//! makes the bad order happen every time.
+//! Races in which an answer or a cancel is still owed: clients that disconnect, cancels that fail, shutdowns,
+//! silent name services. Each test forces the bad order of events.
 
 mod common;
 use bramblewharf_gateway::config;
@@ -13,10 +13,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// After it has gone, nothing begins for a client any longer.
-const GONE: Duration = Duration::from_millis(100);
+/// Nothing is started for a client later than this after it has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 
-/// One attempt out at a time, and patience for 100 ms: what an execution may take is far less.
+/// Only one attempt in flight, and executions time out after 100 ms: the SLO of 10 ms is far below that
+/// minimum.
 fn one_at_a_time(engines: &[SocketAddr]) -> Value {
     let mut configuration = configuration(engines);
     configuration["settings"]["allowed"]["secondCopies"] = json!(false);
@@ -26,15 +27,15 @@
     configuration
 }
 
-fn deletes(engine: &Engine) -> usize {
+fn delete_count(engine: &Engine) -> usize {
     engine.calls.0.lock().unwrap().iter().filter(|call| call.method == "DELETE").count()
 }
 
-/// A cancel whose connection broke off may never have come whole: where one execution may be out at a time, the next waits for
-/// one that surely did.
+/// A cancel whose connection failed may not have arrived: if only one execution may be in flight, the next
+/// waits for a cancel that certainly did.
 #[test]
-fn a_cancel_that_broke_off_is_made_again_before_the_next_goes_out() {
-    let ill = Engine::start({
+fn a_failed_cancel_is_retried_before_the_next_execution_goes_out() {
+    let failing = Engine::start({
         let broken = Mutex::new(0);
         move |call| match call.method.as_str() {
             "DELETE" => {
@@ -49,20 +50,21 @@
             _ => answer(202, "", b""),
         }
     });
-    let calls = ill.calls.clone();
-    let well = Engine::start(move |call| {
+    let calls = failing.calls.clone();
+    let healthy = Engine::start(move |call| {
         let known = calls.0.lock().unwrap().iter().filter(|call| call.method == "DELETE").count();
         assert!(call.method != "POST" || known == 3, "sent after {known} cancels");
         answer(200, "Page-Count: 1\r\n", format!("{known}\n").as_bytes())
     });
-    let served = TestGateway::start(&one_at_a_time(&[well.address, ill.address]));
+    let served = TestGateway::start(&one_at_a_time(&[healthy.address, failing.address]));
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).body, json!({"values": [["3"]]}));
-    assert_eq!((ill.post_count(), well.post_count()), (1, 1));
+    assert_eq!((failing.post_count(), healthy.post_count()), (1, 1));
 }
 
-/// What was sent on a connection that fell silent may yet be on its way when the engine says that it does not know it.
+/// A statement that was sent on a connection that fell silent may still be in transit when the engine does
+/// not know it.
 #[test]
-fn a_statement_that_may_be_on_its_way_is_not_sent_beside_itself() {
+fn a_statement_that_may_be_in_transit_is_not_sent_concurrently() {
     let late = Engine::start({
         let asked = Mutex::new(0);
         move |call| match call.method.as_str() {
@@ -79,18 +81,18 @@
             _ => answer(204, "", b""),
         }
     });
-    let well = Engine::healthy();
-    let mut configuration = one_at_a_time(&[well.address, late.address]);
+    let healthy = Engine::healthy();
+    let mut configuration = one_at_a_time(&[healthy.address, late.address]);
     configuration["settings"]["profiles"][0]["promiseUs"] = json!(400_000);
     let served = TestGateway::start(&configuration);
     assert_eq!(served.ask(&call("read", 1, 60_000, "")).body, json!({"values": [["late"]]}));
-    assert_eq!((late.post_count(), well.post_count()), (1, 0));
+    assert_eq!((late.post_count(), healthy.post_count()), (1, 0));
 }
 
-/// The engine answers other calls, and has not read the statement: that shows nothing of when it will. The next attempt goes out once
-/// the engine shows that it had the first and ended it, or never.
+/// The engine answers other calls but has not read the statement, and may do so at any time. The next attempt
+/// goes out only once the engine shows that it had the first one and has ended it.
 #[test]
-fn a_statement_that_its_engine_has_not_read_is_not_sent_beside_itself() {
+fn a_statement_that_its_engine_has_not_read_is_not_sent_concurrently() {
     for reads_after in [Some(4), None] {
         let late = Engine::start({
             let asked = Mutex::new(0);
@@ -108,15 +110,15 @@
             }
         });
         let calls = late.calls.clone();
-        let well = Engine::start(move |call| {
+        let healthy = Engine::start(move |call| {
             let cancelled = calls.0.lock().unwrap().iter().filter(|call| call.method == "DELETE").count();
             assert!(call.method != "POST" || cancelled > 0, "sent while the other may be read");
             answer(200, "Page-Count: 1\r\n", b"well\n")
         });
-        let served = TestGateway::start(&one_at_a_time(&[well.address, late.address]));
+        let served = TestGateway::start(&one_at_a_time(&[healthy.address, late.address]));
         let answered = served.ask(&call("read", 1, 3000, ""));
         assert_eq!(
-            (late.post_count(), well.post_count()),
+            (late.post_count(), healthy.post_count()),
             (1, usize::from(reads_after.is_some())),
             "{:?}",
             answered.body
@@ -125,11 +127,13 @@
     }
 }
 
-/// What happened: beside load, 70 executions of a gateway in 30 s, 24 completed, and 4,170 statements rejected for want of budget while none was
-/// open. Why: every call was given up after 300 ms, however often in a row; an engine that takes 450 ms had each answer thrown away just before
-/// it came, cancels too, and was asked the more. What showed it: `open: 0, refusals: {Forbidden(Leave): 4170}, timed_out: 41, asked_again: 93`.
+/// Guards against giving up every call after 300 ms, however often in a row: an engine that takes 450 ms had
+/// each answer dropped just before it arrived, those to cancels too, and was called all the more. Under load
+/// a gateway then made 70 executions in 30 s, of which 24 completed, and rejected 4,170 statements for lack
+/// of budget while none was open (`open: 0, refusals: {Forbidden(Leave): 4170}, timed_out: 41, asked_again:
+/// 93`).
 #[test]
-fn an_engine_that_answers_every_call_late_is_heard() {
+fn late_answers_of_a_slow_engine_are_read() {
     const LATE: Duration = Duration::from_millis(450);
     let slow = Engine::start(|call| {
         std::thread::sleep(LATE);
@@ -145,50 +149,50 @@
     assert_eq!(served.ask(&call("read", 1, 6000, "")).body, json!({"values": [["late"]]}));
 }
 
-/// Says that nothing is known yet until a while after its client has gone, and fails then: a statement that may be repeated
-/// would go elsewhere.
-struct Fails {
-    gone: Arc<Mutex<Option<Instant>>>,
+/// An engine that reports statements as running until a while after the client has disconnected, and then
+/// fails them: a statement that may be repeated would be sent to another engine.
+struct FailsAfterDisconnect {
+    disconnected: Arc<Mutex<Option<Instant>>>,
     engine: Engine,
 }
 
-impl Fails {
-    fn start() -> Fails {
-        let gone = Arc::new(Mutex::new(None::<Instant>));
-        let since = gone.clone();
+impl FailsAfterDisconnect {
+    fn start() -> FailsAfterDisconnect {
+        let disconnected = Arc::new(Mutex::new(None::<Instant>));
+        let since = disconnected.clone();
         let engine = Engine::start(move |call| match (call.method.as_str(), *since.lock().unwrap()) {
             ("DELETE", _) => answer(204, "", b""),
-            (_, Some(gone)) if gone.elapsed() > GONE => answer(500, "", b""),
+            (_, Some(disconnected)) if disconnected.elapsed() > DISCONNECT_GRACE => answer(500, "", b""),
             _ => answer(202, "", b""),
         });
-        Fails { gone, engine }
+        FailsAfterDisconnect { disconnected, engine }
     }
 
-    fn client_goes(&self) {
-        self.gone.lock().unwrap().get_or_insert_with(Instant::now);
+    fn client_disconnects(&self) {
+        self.disconnected.lock().unwrap().get_or_insert_with(Instant::now);
     }
 }
 
-fn reset(stream: TcpStream) {
+fn close_with_reset(stream: TcpStream) {
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
 }
 
-/// However a client goes, nothing begins for it over 0.1 s later, many at once or alone.
+/// However clients disconnect, one or many at once, nothing is started for them more than 0.1 s later.
 #[test]
-fn nothing_begins_for_a_client_that_has_gone() {
-    type Goes = fn(TcpStream);
-    let ways: [(&str, Goes); 4] = [
+fn nothing_starts_for_a_disconnected_client() {
+    type Disconnect = fn(TcpStream);
+    let ways: [(&str, Disconnect); 4] = [
         ("closes", drop),
-        ("resets", reset),
+        ("resets", close_with_reset),
         ("closes its sending side", |stream| stream.shutdown(Shutdown::Write).unwrap()),
         ("closes behind more than is read", |mut stream| {
-            // Behind an open call no more than a little is read; the rest hides the close.
+            // Only a little is read behind an open call; the rest hides the close.
             let _ = stream.write_all(&[b'x'; 40_000]);
         }),
     ];
-    for (what, goes) in ways {
-        let (well, fails) = (Engine::healthy(), Fails::start());
-        let served = TestGateway::in_front_of(&[well.address, fails.engine.address]);
+    for (what, disconnect) in ways {
+        let (healthy, fails) = (Engine::healthy(), FailsAfterDisconnect::start());
+        let served = TestGateway::in_front_of(&[healthy.address, fails.engine.address]);
         let streams: Vec<TcpStream> = (0..if what == "closes" { 12 } else { 1 })
             .map(|id| {
                 let mut stream = served.connect();
@@ -197,16 +201,16 @@
             })
             .collect();
         fails.engine.wait_for_call(|call| call.method == "POST");
-        let began = well.post_count();
-        streams.into_iter().for_each(goes);
-        fails.client_goes();
+        let began = healthy.post_count();
+        streams.into_iter().for_each(disconnect);
+        fails.client_disconnects();
         fails.engine.wait_for_call(|call| call.method == "DELETE");
         let over = Instant::now();
-        while over.elapsed() < 2 * GONE {
-            assert!(well.post_count() <= began + 6, "{what}");
+        while over.elapsed() < 2 * DISCONNECT_GRACE {
+            assert!(healthy.post_count() <= began + 6, "{what}");
             std::thread::yield_now();
         }
-        let tickets: Vec<String> = [&well, &fails.engine]
+        let tickets: Vec<String> = [&healthy, &fails.engine]
             .iter()
             .flat_map(|e| e.post_calls())
             .map(|p| p.headers["x-ticket"].clone())
@@ -218,26 +222,27 @@
     }
 }
 
-/// A client that was given a path and has no call open is absent: its statement goes on, but nothing new begins for it; it is
-/// told that when it comes back. One that came back in time gets its retry.
+/// A client that was given a path and has no call open is not polling: its execution continues, but no new
+/// one is started; the client gets an abort when it polls again. A client that polls again in time gets its
+/// retry.
 #[test]
-fn nothing_begins_for_a_client_without_a_call_open() {
+fn nothing_starts_for_a_client_that_is_not_polling() {
     for comes_back in [false, true] {
-        let (well, fails) = (Engine::healthy(), Fails::start());
-        let served = TestGateway::in_front_of(&[well.address, fails.engine.address]);
+        let (healthy, fails) = (Engine::healthy(), FailsAfterDisconnect::start());
+        let served = TestGateway::in_front_of(&[healthy.address, fails.engine.address]);
         let mut stream = BufReader::new(served.connect());
         stream.get_mut().write_all(call("read", 1, 60_000, "").as_bytes()).unwrap();
         let path = Response::read(&mut stream).body["link"].as_str().unwrap().to_string();
         drop(stream);
         let again =
             comes_back.then(|| served.ask_in_background(format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n")));
-        fails.client_goes();
+        fails.client_disconnects();
         let last = match again {
             Some(again) => again.join().unwrap(),
             None => {
                 fails.engine.wait_for_call(|call| call.method == "GET" && call.path.ends_with("/0"));
                 let before = Instant::now();
-                while before.elapsed() < 2 * GONE {
+                while before.elapsed() < 2 * DISCONNECT_GRACE {
                     std::thread::yield_now();
                 }
                 let mut answered = served.get("GET", &path);
@@ -247,35 +252,35 @@
                 answered
             }
         };
-        assert_eq!((last.status, well.post_count()), if comes_back { (200, 1) } else { (503, 0) });
+        assert_eq!((last.status, healthy.post_count()), if comes_back { (200, 1) } else { (503, 0) });
     }
 }
 
-/// An engine whose connections do not come up until it is told to take them.
-struct Late {
+/// An engine whose connections are not established until it is told to accept them.
+struct LateListener {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl Late {
-    fn start() -> Late {
+impl LateListener {
+    fn start() -> LateListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
-        // The machine takes one more than the backlog; what comes then is sent again after a second.
+        // The system accepts one connection more than the backlog; later ones are retried after a second.
         let within = Duration::from_millis(50);
         let fillers = (0..4).map_while(|_| TcpStream::connect_timeout(&address, within).ok()).collect();
-        Late { listener, fillers }
+        LateListener { listener, fillers }
     }
 
-    /// What comes on the connection that was late, until its end.
-    fn take(self) -> Vec<u8> {
+    /// Accepts the late connection and returns everything that it carries until its end.
+    fn accept_late(self) -> Vec<u8> {
         for _ in 0..self.fillers.len() {
             self.listener.accept().unwrap();
         }
-        // It comes a second after the dial began, or not at all.
+        // It is established a second after the dial began, or not at all.
         self.listener.set_nonblocking(true).unwrap();
         let before = Instant::now();
         let (mut stream, _) = loop {
@@ -287,16 +292,17 @@
         };
         stream.set_nonblocking(false).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        let mut came = Vec::new();
-        let _ = stream.read_to_end(&mut came);
-        came
+        let mut received = Vec::new();
+        let _ = stream.read_to_end(&mut received);
+        received
     }
 }
 
-/// A connection that comes up after its client has gone carries nothing, also where executions may not be cancelled.
+/// A connection that is established after its client has disconnected carries nothing, even if executions may
+/// not be cancelled.
 #[test]
-fn a_client_that_left_while_a_connection_was_made_costs_no_execution() {
-    let late = Late::start();
+fn a_client_that_disconnects_during_the_dial_costs_no_execution() {
+    let late = LateListener::start();
     let mut configuration = configuration(&[late.listener.local_addr().unwrap()]);
     configuration["settings"]["allowed"]["mayCancel"] = json!(false);
     configuration["settings"]["allowed"]["dialTimeoutUs"] = json!(20_000_000);
@@ -305,35 +311,37 @@
     stream.get_mut().write_all(call("once", 1, 60_000, "").as_bytes()).unwrap();
     let path = Response::read(&mut stream).body["link"].as_str().unwrap().to_string();
     assert_eq!(served.get("DELETE", &path).status, 204);
-    assert_eq!(String::from_utf8_lossy(&late.take()), "");
+    assert_eq!(String::from_utf8_lossy(&late.accept_late()), "");
 }
 
-/// The same for a drain that is told meanwhile: the statement goes elsewhere, as nothing of it was sent.
+/// The same for a drain that is announced during the dial: the statement goes elsewhere, as nothing of it was
+/// sent.
 #[test]
-fn a_drain_told_while_a_connection_was_made_sends_the_statement_elsewhere() {
-    let (late, well) = (Late::start(), Engine::healthy());
+fn a_drain_during_the_dial_sends_the_statement_elsewhere() {
+    let (late, healthy) = (LateListener::start(), Engine::healthy());
     let address = late.listener.local_addr().unwrap();
-    let mut configuration = configuration(&[well.address, address]);
+    let mut configuration = configuration(&[healthy.address, address]);
     configuration["settings"]["allowed"]["dialTimeoutUs"] = json!(20_000_000);
     let served = TestGateway::start(&configuration);
     let mut stream = BufReader::new(served.connect());
     stream.get_mut().write_all(call("once", 1, 60_000, "").as_bytes()).unwrap();
-    // A path tells that the dial is under way. It is made again a second after it began.
+    // A path shows that the dial is under way. It is retried a second after it began.
     let path = Response::read(&mut stream).body["link"].as_str().unwrap().to_string();
     let asked = ask_in_background(stream.into_inner(), format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n"));
     let mut drained = configuration.clone();
     drained["known"]["no"] = json!(2);
     drained["known"]["items"][0]["roster"]["members"][1]["phase"] = json!("draining");
     served.reload(drained).unwrap();
-    assert_eq!(String::from_utf8_lossy(&late.take()), "");
+    assert_eq!(String::from_utf8_lossy(&late.accept_late()), "");
     assert_eq!(asked.join().unwrap().body, json!({"values": [["well", "1", "x"]]}));
 }
 
-/// What is still on its way to an engine when its client goes is not delivered later: a cancel would overtake it.
+/// Data in transit to an engine when its client disconnects is not delivered later: the cancel would overtake
+/// it.
 #[test]
-fn what_is_on_its_way_is_not_delivered_after_it_is_given_up() {
+fn data_in_transit_is_not_delivered_after_the_cancel() {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    // So little is taken before it is read that the rest stays with the gateway's machine.
+    // The receive buffer is so small that most of the data stays in the gateway's send buffer.
     socket.set_recv_buffer_size(2048).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(8).unwrap();
@@ -348,19 +356,19 @@
     client.write_all(call.as_bytes()).unwrap();
     let (mut engine, _) = listener.accept().unwrap();
     engine.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    let mut came = vec![0; 1];
-    engine.read_exact(&mut came).unwrap();
+    let mut received = vec![0; 1];
+    engine.read_exact(&mut received).unwrap();
     drop(client);
-    // The cancel tells that it has been given up.
+    // The cancel shows that the execution has been dropped.
     let (mut cancel, _) = listener.accept().unwrap();
     let mut head = [0; 6];
     cancel.read_exact(&mut head).unwrap();
     assert_eq!(&head, b"DELETE");
-    let end = engine.read_to_end(&mut came);
-    assert!(end.is_err() && came.len() < 60_000, "{end:?}, {} came", came.len());
+    let end = engine.read_to_end(&mut received);
+    assert!(end.is_err() && received.len() < 60_000, "{end:?}, {} received", received.len());
 }
 
-/// A call that is refused is answered once, though what came behind its head can't be read as a call.
+/// A refused call is answered once, even if the data behind its head can't be parsed as a call.
 #[test]
 fn a_bad_call_is_answered_once() {
     let engine = Engine::healthy();
@@ -381,9 +389,9 @@
     assert_eq!(engine.post_count(), 0);
 }
 
-/// A connection that the machine has taken and the gateway has not is answered all the same when the gateway closes.
+/// A connection in the listen backlog, not accepted yet, is still answered when the gateway shuts down.
 #[test]
-fn what_waits_to_be_accepted_is_answered_at_the_close() {
+fn connections_in_the_backlog_are_answered_at_shutdown() {
     let engine = Engine::start(|_| answer(202, "", b""));
     let mut configuration = configuration(&[engine.address]);
     configuration["limits"]["sockets"] = json!(128);
@@ -392,15 +400,15 @@
     let mut first = BufReader::new(served.connect());
     first.get_mut().write_all(call("read", 1, 60_000, "").as_bytes()).unwrap();
     let path = Response::read(&mut first).body["link"].as_str().unwrap().to_string();
-    let back = format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n");
-    let mut held = vec![ask_in_background(first.into_inner(), back.clone())];
-    held.extend((1..clients).map(|_| served.ask_in_background(back.clone())));
-    // With a call open on each there is no room: this one waits.
-    let mut waits = served.connect();
-    waits.write_all(call("read", 2, 60_000, "").as_bytes()).unwrap();
+    let poll = format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n");
+    let mut held = vec![ask_in_background(first.into_inner(), poll.clone())];
+    held.extend((1..clients).map(|_| served.ask_in_background(poll.clone())));
+    // With a call open on each connection the bound is reached: this one waits.
+    let mut backlogged = served.connect();
+    backlogged.write_all(call("read", 2, 60_000, "").as_bytes()).unwrap();
     let closed = served.shut_down();
     let mut read = String::new();
-    waits.read_to_string(&mut read).unwrap();
+    backlogged.read_to_string(&mut read).unwrap();
     assert!(read.starts_with("HTTP/1.1 503") && read.matches("HTTP/1.1").count() == 1, "{read}");
     for held in held {
         assert_eq!(held.join().unwrap().status, 500);
@@ -408,16 +416,17 @@
     closed.join().unwrap();
 }
 
-/// Whoever rests, or has half a call on the way, sees an orderly end within the bound, and what it sends then is not sent on.
+/// An idle client, or one that has sent half a call, sees an orderly end within the bound; what it sends then
+/// is not forwarded.
 #[test]
-fn clients_that_rest_neither_hold_the_close_nor_see_a_reset() {
+fn idle_clients_neither_delay_the_shutdown_nor_see_a_reset() {
     let engine = Engine::healthy();
     let mut configuration = configuration(&[engine.address]);
     for at in 0..3 {
         configuration["settings"]["profiles"][at]["deadlineUs"] = json!(1_000_000);
     }
     let mut served = TestGateway::start(&configuration);
-    let mut resting: Vec<BufReader<TcpStream>> = (1..4)
+    let mut idle: Vec<BufReader<TcpStream>> = (1..4)
         .map(|id| {
             let mut stream = BufReader::new(served.connect());
             stream.get_mut().write_all(call("read", id, 1000, "").as_bytes()).unwrap();
@@ -425,10 +434,10 @@
             stream
         })
         .collect();
-    resting[1].get_mut().write_all(b"POST /svc/read HTTP/1.1\r\nHo").unwrap();
+    idle[1].get_mut().write_all(b"POST /svc/read HTTP/1.1\r\nHo").unwrap();
     let began = Instant::now();
     let closed = served.shut_down();
-    for stream in &mut resting {
+    for stream in &mut idle {
         assert_eq!(stream.read_to_end(&mut Vec::new()).unwrap(), 0);
         let _ = stream.get_mut().write_all(call("read", 9, 1000, "").as_bytes());
     }
@@ -437,10 +446,10 @@
     assert_eq!(engine.post_count(), 3);
 }
 
-/// A list that falls silent on one socket is asked for from another, and the service that can't be heard at the start is found
-/// later.
+/// A name service that falls silent on one socket is polled from another; one that does not answer at the
+/// start is found later.
 #[test]
-fn a_list_that_falls_silent_on_one_socket_is_asked_for_from_another() {
+fn a_name_service_silent_on_one_socket_is_polled_from_another() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let names = socket.local_addr().unwrap();
     let engine = Engine::healthy();
@@ -460,23 +469,23 @@
         let mut client = NameServiceClient::start(Some(names), 1, 7, log).unwrap();
         let heard = client.last_confirmed();
         let before = heard.get();
-        let word = loop {
+        let update = loop {
             if let ListUpdate::List(known, _) =
                 tokio::time::timeout(TEST_TIMEOUT, client.next_update()).await.unwrap()
             {
                 break known;
             }
         };
-        assert!(word.serial == 5 && heard.get() > before);
+        assert!(update.serial == 5 && heard.get() > before);
     });
 }
 
-/// Idle clients may hold all that clients may have while the list can't be asked for: it is heard again when the service is
-/// back, and what is served then comes from it.
+/// Idle clients may hold all client connections while the name service is silent: once it answers again, the
+/// list is read and used.
 #[test]
-fn idle_clients_cost_neither_the_list_nor_the_service() {
-    let well = Engine::healthy();
-    let address = well.address;
+fn idle_clients_affect_neither_the_list_nor_the_service() {
+    let healthy = Engine::healthy();
+    let address = healthy.address;
     let (names, asked) = name_service(move |number, id| match number {
         0..12 => Vec::new(),
         _ => vec![list_answer(id, 9, &[("x", address, 0)])],
@@ -491,10 +500,10 @@
     drop(idle);
 }
 
-/// Two gateways of different customers in one process know nothing of one another, and neither does one of what it was started
-/// with before: names and positions are those of its own settings.
+/// Gateways of different customers in one process share no state: names and positions are those of each one's
+/// own settings.
 #[test]
-fn customers_are_kept_apart() {
+fn gateways_of_different_customers_are_isolated() {
     let (ours, theirs) = (Engine::healthy(), Engine::healthy());
     let first = TestGateway::in_front_of(&[ours.address]);
     let mut other = configuration(&[theirs.address]);
@@ -511,7 +520,7 @@
         assert_eq!(first.ask(&as_umbra(10 + id)).status, 404);
         assert_eq!(second.ask(&call("once", 20 + id, 60_000, "")).status, 404);
     }
-    // What waits for a restart does not take effect in part, in whatever order it comes.
+    // Settings that need a restart don't take effect in part, in whatever order they come.
     let mut mixed = other.clone();
     mixed["known"] = configuration(&[ours.address, theirs.address])["known"].clone();
     mixed["known"]["no"] = json!(2);
@@ -524,5 +533,5 @@
     };
     assert!(queues(&theirs).iter().all(|queue| ["survey", "load"].contains(&queue.as_str())));
     assert!(queues(&ours).iter().all(|queue| ["once", "load"].contains(&queue.as_str())));
-    assert_eq!(deletes(&ours) + deletes(&theirs), 0);
+    assert_eq!(delete_count(&ours) + delete_count(&theirs), 0);
 }
