--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -378,8 +378,8 @@
     // The time left counts from the arrival of the call, which may have waited while this process was
     // stalled.
     let now = Instant::now();
-    core.standstill.record_activity(now);
-    statement.time_left = statement.time_left.saturating_sub(core.standstill.queueing_delay(now));
+    core.pause_detector.record_activity(now);
+    statement.time_left = statement.time_left.saturating_sub(core.pause_detector.queueing_delay(now));
     let id = statement.id.clone();
     let (caller, mut answer) = core.register_caller();
     let mut disconnect_guard = DisconnectGuard { core: core.clone(), id: Some(id.clone()), caller };
--- a/crates/gateway/src/runtime.rs
+++ b/crates/gateway/src/runtime.rs
@@ -147,7 +147,7 @@
     pub log: Logger,
     trace: Trace,
     /// Detects pauses of this process.
-    pub standstill: PauseDetector,
+    pub pause_detector: PauseDetector,
     engines: EngineClient,
     peers: Option<PeerSocket>,
     fleet: Option<Link>,
@@ -189,7 +189,7 @@
         if self.closed.get() {
             return true;
         }
-        self.standstill.record_activity(Instant::now());
+        self.pause_detector.record_activity(Instant::now());
         let faults = self.faults.get();
         self.trace.input(&input);
         let (effects, due_changed) = {
@@ -225,8 +225,8 @@
     /// was no recent pause.
     pub async fn wait_for_backlog(&self) {
         let now = Instant::now();
-        self.standstill.record_activity(now);
-        if let Some(remaining) = self.standstill.catch_up_left(now) {
+        self.pause_detector.record_activity(now);
+        if let Some(remaining) = self.pause_detector.catch_up_left(now) {
             sleep(remaining).await;
         }
     }
@@ -641,7 +641,7 @@
             retry_after,
             bodies,
             trace: Trace::new(&log),
-            standstill: PauseDetector::new(Instant::now()),
+            pause_detector: PauseDetector::new(Instant::now()),
             log,
             engines,
             peers,
@@ -779,8 +779,8 @@
     pub async fn shut_down(self) {
         // If this process was stalled, the request may have come as early as the start of the stall.
         let now = Instant::now();
-        self.core.standstill.record_activity(now);
-        let waited = self.core.standstill.queueing_delay(now);
+        self.core.pause_detector.record_activity(now);
+        let waited = self.core.pause_detector.queueing_delay(now);
         let began = now.checked_sub(waited).unwrap_or(now);
         slog::info!(self.core.log, "closing"; "waited_ms" => waited.as_millis() as u64);
         let within = MIN_SHUTDOWN_TIME.max(self.statement_time + SHUTDOWN_SLACK);
