--- a/crates/gateway/src/predecessor_check.rs
+++ b/crates/gateway/src/predecessor_check.rs
@@ -1,7 +1,7 @@
 //! Checks that engines have read everything a previous process of this gateway may have sent them, by probing
 //! each engine, a bounded number at a time.
 
-use crate::reducer::Listed;
+use crate::reducer::ListedEngine;
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,7 +34,7 @@
     }
 
     /// Queues the engines that have not been seen before: a previous process may have sent to each of them.
-    pub fn add_engines<'a>(&mut self, engines: impl Iterator<Item = &'a Listed>) {
+    pub fn add_engines<'a>(&mut self, engines: impl Iterator<Item = &'a ListedEngine>) {
         for listed in engines {
             if self.seen.insert(listed.address) {
                 self.queued.push_back(listed.address);
