--- a/crates/gateway/src/policy/tests.rs
+++ b/crates/gateway/src/policy/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 fn names() -> Names {
-    let words = |words: &[&str]| words.iter().map(|word| word.to_string()).collect::<Vec<_>>();
+    let strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
     Names {
-        workloads: words(&["lookup", "load"]),
-        customers: words(&["acme"]),
-        kinds: words(&["std", "big"]),
-        terms: vec![(false, None), (true, Some(words(&["big"])))],
+        workloads: strings(&["lookup", "load"]),
+        customers: strings(&["acme"]),
+        kinds: strings(&["std", "big"]),
+        workload_constraints: vec![(false, None), (true, Some(strings(&["big"])))],
     }
 }
 
 #[test]
-fn a_text_says_what_it_permits() {
+fn a_policy_text_is_parsed_into_rules() {
     let text = "workload \"lookup\" {\n  executions = 2\n  kinds = [\"std\"]\n}\ncustomer \"acme\" {\n  forbidden = true\n}\n\
                 alone {\n  workload \"lookup\" {}\n}\n";
     let rules = read(text, Some(&names())).unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_by_line_key_and_rule() {
+fn errors_name_the_line_the_key_and_the_rule() {
     for (text, message) in [
         ("listen = \"1.2.3.4:5\"", "1: listen: unknown field `listen`"),
         ("\nworkload \"lookup\" {\n  execution = 2\n}", "3: workload.lookup.execution: unknown field"),
@@ -39,7 +39,7 @@
         ("alone {\n  workload \"x\" {}\n}", "2: alone.workload.x: is no workload"),
         ("workload {", "1: "),
     ] {
-        let found = read(text, Some(&names())).unwrap_err();
-        assert!(found.starts_with(message), "{text}: {found}");
+        let error = read(text, Some(&names())).unwrap_err();
+        assert!(error.starts_with(message), "{text}: {error}");
     }
 }
