--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the gateway.
 
 use crate::{config, operators, policy_cli, view, Gateway, Ports};
 use clap::{Parser, Subcommand};
@@ -11,42 +11,42 @@
 
 #[derive(Parser)]
 #[command(name = "bramblewharf", version, about = "A workload manager before analytic engines")]
-struct Line {
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves clients until it is told to end; SIGHUP has it read the configuration again.
+    /// Serves clients until SIGTERM or SIGINT; SIGHUP reloads the configuration.
     Serve {
-        /// The configuration; else the file that EDGE_CONFIG names.
+        /// The configuration; by default the file in EDGE_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// The operators' own settings, in HCL; without it, all of them have their defaults.
+        /// The operators' settings, in HCL; without them, all settings have their defaults.
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
     },
-    /// Reads and checks the configuration and the operators' settings, and starts nothing. With the settings alone, checks
-    /// those.
+    /// Checks the configuration and the operators' settings without starting anything. With --settings only, checks just the
+    /// settings.
     CheckConfig {
         #[arg(long)]
         config: Option<PathBuf>,
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
     },
-    /// What a gateway knows of its fleet, from the status that it writes.
+    /// Shows a gateway's view of its fleet, from its status file.
     Fleet(view::Fleet),
-    /// The fleet's policy: checks a text, proposes it, shows how things stand.
+    /// Manages the fleet's policy: checks, proposes, shows and withdraws revisions.
     #[command(subcommand)]
     Policy(policy_cli::Policy),
     /// Prints the version.
     Version,
 }
 
-/// Runs the program: 0 where it did what it was told, 1 where it could not, 2 for a bad command line.
+/// Runs the program. Exit codes: 0 for success, 1 for a failure, 2 for an invalid command line; `policy` has more.
 pub fn run() -> ExitCode {
-    let done = match Line::parse().command {
+    let result = match Arguments::parse().command {
         Command::Serve { config, settings } => serve(config, settings, Ports::default()),
         Command::Policy(command) => match policy_cli::run(&command) {
             Ok(code) => return code,
@@ -71,7 +71,7 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("bramblewharf: {message}");
@@ -80,44 +80,44 @@
     }
 }
 
-/// The level from which on lines are logged, as slog names it; `debug` follows each statement through the gateway.
-const LOG_LEVEL: &str = "BRAMBLEWHARF_LOG";
-/// Lines that wait to be written: ordinary ones are few, those of single statements are not.
+/// Environment variable with the minimum log level, as slog names it; `debug` traces each statement.
+const LOG_LEVEL_VARIABLE: &str = "BRAMBLEWHARF_LOG";
+/// Capacity of the log queue. At `debug`, several lines per statement are written, so the queue is larger.
 const LOG_QUEUE: usize = 1024;
 const LOG_QUEUE_DEBUG: usize = 64 * 1024;
 
-/// Messages go through a bounded queue to a thread of their own; what does not fit is dropped and counted.
+/// A logger that writes on its own thread through a bounded queue; lines that don't fit are dropped and counted.
 fn logger() -> Result<Logger, String> {
-    let level = match std::env::var(LOG_LEVEL).ok().filter(|level| !level.is_empty()) {
+    let level = match std::env::var(LOG_LEVEL_VARIABLE).ok().filter(|level| !level.is_empty()) {
         None => Level::Info,
         Some(level) => {
-            level.parse().map_err(|()| format!("{LOG_LEVEL}: {level} is not a level of the log"))?
+            level.parse().map_err(|()| format!("{LOG_LEVEL_VARIABLE}: {level} is not a log level"))?
         }
     };
     let queue = if level.is_at_least(Level::Debug) { LOG_QUEUE_DEBUG } else { LOG_QUEUE };
-    let lines = slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(std::io::stderr()));
-    let drain = slog_async::Async::new(lines.build().fuse()).chan_size(queue).build();
+    let format = slog_term::FullFormat::new(slog_term::PlainSyncDecorator::new(std::io::stderr()));
+    let drain = slog_async::Async::new(format.build().fuse()).chan_size(queue).build();
     Ok(Logger::root(LevelFilter::new(drain, level).fuse(), slog::o!()))
 }
 
-/// Serves until it is told to end.
+/// Serves until SIGTERM or SIGINT.
 pub fn serve(path: Option<PathBuf>, settings: Option<PathBuf>, ports: Ports) -> Result<(), String> {
-    // Before all else: a SIGHUP that comes before the gateway serves must not end it, nor get lost.
-    let hung_up = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(SIGHUP, hung_up.clone()).map_err(|e| format!("signals: {e}"))?;
+    // Registered first, so that a SIGHUP during the start neither ends the process nor is lost.
+    let reload_requested = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(SIGHUP, reload_requested.clone()).map_err(|e| format!("signals: {e}"))?;
     let start = config::load(path.clone(), settings.as_deref())?;
     let log = logger()?;
     actix_rt::System::new().block_on(async {
         use tokio::signal::unix::{signal, SignalKind};
-        let heard = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-        let (mut term, mut interrupt) = (heard(SignalKind::terminate())?, heard(SignalKind::interrupt())?);
-        let mut hangup = heard(SignalKind::hangup())?;
+        let listen = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
+        let (mut term, mut interrupt) = (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
+        let mut hangup = listen(SignalKind::hangup())?;
         let gateway = Gateway::start_with(start, log.clone(), ports).await.map_err(|e| e.to_string())?;
         let reload = || match config::load(path.clone(), settings.as_deref()) {
             Ok(start) => gateway.reload(start),
             Err(message) => slog::error!(log, "configuration not reloaded: {}", message),
         };
-        if hung_up.load(Ordering::Relaxed) {
+        if reload_requested.load(Ordering::Relaxed) {
             reload();
         }
         loop {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The query gateway: one program on real sockets around the decisions of `bramblewharf`. Others can embed it:
-//! read a configuration with `config`, then `Gateway::start` and `Gateway::shut_down`.
+//! The query gateway: sockets, timers and files around the scheduler in `bramblewharf`. To embed it, read a configuration
+//! with `config`, then call `Gateway::start` and `Gateway::shut_down`.
 
 pub mod cli;
 mod closes;
--- a/crates/gateway/src/record_file/tests.rs
+++ b/crates/gateway/src/record_file/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_next_process_finds_what_was_out() {
+fn the_next_process_reads_the_executions_in_flight() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("outstanding");
     let (predecessor, mut slots) = read(&path, &start(1), &log());
@@ -46,24 +46,24 @@
     file.write(&slots.add(&outstanding()), &log());
     let Predecessor::Recorded(record) = read(&path, &start(2), &log()).0 else { panic!("no record") };
     assert_eq!((record.run.incarnation, record.outstanding), (Incarnation(1), vec![outstanding()]));
-    // One that is cut is none.
+    // A truncated file counts as missing.
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, &bytes[..bytes.len() / 2]).unwrap();
     assert_eq!(read(&path, &start(3), &log()).0, Predecessor::Unknown);
 }
 
-/// Guards against a file that no longer tells all and is taken for whole.
+/// Guards against an incomplete record that the next process takes for complete.
 #[test]
-fn a_file_that_can_not_be_written_is_removed() {
+fn a_file_is_removed_after_a_failed_write() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("outstanding");
     let mut slots = read(&path, &start(1), &log()).1;
     drop(RecordFile::replace(&path, &[slots.header()]).unwrap());
-    // Open for reading alone: each write fails, as on a disk that has become read-only.
+    // The file is open for reading only, so each write fails as on a disk that has become read-only.
     let file = RecordFile { path: path.clone(), file: RefCell::new(Some(File::open(&path).unwrap())) };
     file.write(&slots.add(&outstanding()), &log());
     assert!(!path.exists());
     file.write(&slots.header(), &log());
-    assert!(!path.exists(), "it stays so");
+    assert!(!path.exists(), "a later write does not restore the file");
     assert!(RecordFile::replace(&dir.path().join("no/folder"), &[]).is_err());
 }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,31 +1,33 @@
-//! `bramblewharf fleet`: shows the status that a gateway writes, as a table or as it is.
+//! `bramblewharf fleet`: shows the status file of a gateway, as a table or as JSON.
 
 use crate::operators;
 use clap::{Args, ValueEnum};
 use serde_json::Value;
 use std::path::PathBuf;
 
+/// Arguments of `bramblewharf fleet`.
 #[derive(Args)]
 pub struct Fleet {
-    /// What of it is shown.
+    /// The part of the status to show.
     #[arg(value_enum, default_value = "status")]
-    what: What,
-    /// The operators' settings of that gateway: they say where its status is.
+    what: StatusPart,
+    /// The operators' settings of the gateway, which name its status file.
     #[arg(long, value_name = "FILE")]
     settings: PathBuf,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum What {
+enum StatusPart {
     Status,
     Members,
     Seats,
     Budgets,
 }
 
+/// Formats the requested part of the status.
 pub fn show(args: &Fleet) -> Result<String, String> {
     let shown = args.settings.display();
     let text =
@@ -33,34 +35,37 @@
     let operators = operators::read(&text, None).map_err(|e| format!("{shown}:{e}"))?;
     let path = operators.fleet.and_then(|fleet| fleet.status);
     let path =
-        path.ok_or_else(|| format!("{shown}: fleet.status: is missing: nothing says where the status is"))?;
+        path.ok_or_else(|| format!("{shown}: fleet.status: is missing, so no status file is written"))?;
     let text = std::fs::read(&path).map_err(|e| format!("{}: cannot be read: {e}", path.display()))?;
     let status: Value = serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let part = match args.what {
-        What::Status => &status,
-        What::Members => &status["keeper"]["members"],
-        What::Seats => &status["seat"],
-        What::Budgets => &status["budgets"],
+        StatusPart::Status => &status,
+        StatusPart::Members => &status["keeper"]["members"],
+        StatusPart::Seats => &status["seat"],
+        StatusPart::Budgets => &status["budgets"],
     };
     if args.json {
         return Ok(format!("{part:#}"));
     }
     Ok(match args.what {
-        What::Status => {
+        StatusPart::Status => {
             lines(&status, &["place", "incarnation", "asks_seat", "has_leave", "members", "passed_over"])
         }
-        What::Members if part.is_null() => {
-            "this gateway does not keep the leave: ask the seat that does".into()
+        StatusPart::Members if part.is_null() => {
+            "this gateway is not the leader of the fleet: ask the leader".into()
         }
-        What::Members => table(part, &["place", "incarnation", "standing", "silent_ms", "given", "needs"]),
-        What::Seats if part.is_null() => "this gateway has no seat".into(),
-        What::Seats => lines(part, &["seat", "votes", "keeper", "bids"]),
-        What::Budgets => {
+        StatusPart::Members => {
+            table(part, &["place", "incarnation", "standing", "silent_ms", "given", "needs"])
+        }
+        StatusPart::Seats if part.is_null() => "this gateway has no seat".into(),
+        StatusPart::Seats => lines(part, &["seat", "votes", "keeper", "bids"]),
+        StatusPart::Budgets => {
             table(part, &["budget", "whole", "floor", "leave", "in_use", "need", "leave_ends_in_ms"])
         }
     })
 }
 
+/// A JSON value as text for a table cell.
 fn plain(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
@@ -70,10 +75,12 @@
     }
 }
 
-fn lines(of: &Value, keys: &[&str]) -> String {
-    keys.iter().map(|key| format!("{key:16} {}", plain(&of[*key]))).collect::<Vec<_>>().join("\n")
+/// One line per key.
+fn lines(object: &Value, keys: &[&str]) -> String {
+    keys.iter().map(|key| format!("{key:16} {}", plain(&object[*key]))).collect::<Vec<_>>().join("\n")
 }
 
+/// A table with a header line and padded columns.
 fn table(rows: &Value, keys: &[&str]) -> String {
     let mut cells = vec![keys.iter().map(|key| key.to_string()).collect::<Vec<_>>()];
     let rows = rows.as_array().into_iter().flatten();
