--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line of the gateway.
 
-use crate::{config, operators, policy_cli, view, Gateway, Ports};
+use crate::{config, operators, policy_cli, view, Gateway, Overrides};
 use clap::{Parser, Subcommand};
 use signal_hook::consts::SIGHUP;
 use slog::{Drain as _, Level, LevelFilter, Logger};
@@ -47,7 +47,7 @@
 /// Runs the program. Exit codes: 0 for success, 1 for a failure, 2 for an invalid command line; `policy` has more.
 pub fn run() -> ExitCode {
     let result = match Arguments::parse().command {
-        Command::Serve { config, settings } => serve(config, settings, Ports::default()),
+        Command::Serve { config, settings } => serve(config, settings, Overrides::default()),
         Command::Policy(command) => match policy_cli::run(&command) {
             Ok(code) => return code,
             Err(message) => Err(message),
@@ -63,7 +63,7 @@
                 "{}: {} workloads, {} engines known",
                 start.name,
                 start.site.workloads.len(),
-                start.cached_engines.list.len()
+                start.cached_engines.engines.len()
             );
         }),
         Command::Version => {
@@ -101,7 +101,7 @@
 }
 
 /// Serves until SIGTERM or SIGINT.
-pub fn serve(path: Option<PathBuf>, settings: Option<PathBuf>, ports: Ports) -> Result<(), String> {
+pub fn serve(path: Option<PathBuf>, settings: Option<PathBuf>, overrides: Overrides) -> Result<(), String> {
     // Registered first, so that a SIGHUP during the start neither ends the process nor is lost.
     let reload_requested = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGHUP, reload_requested.clone()).map_err(|e| format!("signals: {e}"))?;
@@ -112,7 +112,8 @@
         let listen = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
         let (mut term, mut interrupt) = (listen(SignalKind::terminate())?, listen(SignalKind::interrupt())?);
         let mut hangup = listen(SignalKind::hangup())?;
-        let gateway = Gateway::start_with(start, log.clone(), ports).await.map_err(|e| e.to_string())?;
+        let gateway =
+            Gateway::start_with_overrides(start, log.clone(), overrides).await.map_err(|e| e.to_string())?;
         let reload = || match config::load(path.clone(), settings.as_deref()) {
             Ok(start) => gateway.reload(start),
             Err(message) => slog::error!(log, "configuration not reloaded: {}", message),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,6 +1,6 @@
 //! Configuration from the platform, in JSON: parsing, validation and defaults. Every error message names the key.
 
-use crate::names::{known, Known};
+use crate::discovery::{read_configured_list, EngineSnapshot};
 use crate::operators::{self, FleetParameters, OperatorSettings, ORDINARY_BODY_BYTES};
 use bramblewharf::interface::Site;
 use bramblewharf_site::Names;
@@ -55,7 +55,7 @@
     /// Name service that lists the engines, if there is one.
     pub name_service: Option<SocketAddr>,
     /// List of engines to start with.
-    pub cached_engines: Known,
+    pub cached_engines: EngineSnapshot,
     /// Settings of the scheduler.
     pub site: Site,
     /// Names of workloads and customers.
@@ -230,8 +230,8 @@
         seed,
     })?;
     let cached_engines = match value.get("known") {
-        None | Some(Value::Null) => Known { no: 0, list: Vec::new() },
-        Some(value) => known(value)?,
+        None | Some(Value::Null) => EngineSnapshot { serial: 0, engines: Vec::new() },
+        Some(value) => read_configured_list(value)?,
     };
     Ok(Start {
         name,
--- a/crates/gateway/src/names/known.rs
+++ b/crates/gateway/src/discovery/configured_list.rs
@@ -1,6 +1,6 @@
 //! The list of engines as a configuration holds it.
 
-use crate::reducer::Listed;
+use crate::reducer::ListedEngine;
 use bramblewharf::interface::{EngineEntry, EngineState, Id};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -8,14 +8,14 @@
 
 /// The list as it stands after an event with this number.
 #[derive(Clone, Debug)]
-pub struct Known {
-    pub no: u64,
-    pub list: Vec<Listed>,
+pub struct EngineSnapshot {
+    pub serial: u64,
+    pub engines: Vec<ListedEngine>,
 }
 
 /// Reads `known` of the configuration: the first event holds the whole list, later ones what has changed.
-pub fn known(value: &Value) -> Result<Known, String> {
-    let mut engines: BTreeMap<Id, Listed> = BTreeMap::new();
+pub fn read_configured_list(value: &Value) -> Result<EngineSnapshot, String> {
+    let mut engines: BTreeMap<Id, ListedEngine> = BTreeMap::new();
     let items = value.get("items").and_then(Value::as_array).ok_or("known.items: is not a list")?;
     for (at, item) in items.iter().enumerate() {
         let path = format!("known.items[{at}].roster");
@@ -31,11 +31,11 @@
         }
     }
     engines.retain(|_, listed| listed.entry.state != EngineState::Gone);
-    let no = value.get("no").and_then(Value::as_u64).ok_or("known.no: is not a whole number")?;
-    Ok(Known { no, list: engines.into_values().collect() })
+    let serial = value.get("no").and_then(Value::as_u64).ok_or("known.no: is not a whole number")?;
+    Ok(EngineSnapshot { serial, engines: engines.into_values().collect() })
 }
 
-fn member(row: &Value) -> Result<Listed, String> {
+fn member(row: &Value) -> Result<ListedEngine, String> {
     let text =
         |key: &str| row.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key}: is not a text"));
     let state = match text("phase")? {
@@ -55,5 +55,5 @@
         nominal: row.get("size").and_then(Value::as_f64).unwrap_or(1.0),
         started: Duration::from_millis(row.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0)),
     };
-    Ok(Listed { entry, address })
+    Ok(ListedEngine { entry, address })
 }
