--- a/crates/rig/src/campaign.rs
+++ b/crates/rig/src/campaign.rs
@@ -1,177 +1,196 @@
-//! Plans of faults against processes: each is played in real time, the fleet is healed, and the records are checked.
+//! Runs fault plans against real gateway processes: each plan in real time, then recovery of the fleet and a
+//! check of its records.
 
-use crate::plan::{Fault, Plan as Faults};
-use crate::relay::{Streams, Way};
-use crate::world::{Clients, Plan, World};
+use crate::plan::{Fault, Plan};
+use crate::relay::{PathState, StreamState};
+use crate::world::{Clients, FleetSpec, World};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// Clients of a gateway, each with a statement every so often, whatever becomes of it.
-const CLIENTS: usize = 12;
-const EVERY: Duration = Duration::from_millis(100);
-/// A fleet that is whole again uses its whole again within this, or something is stuck.
-const WELL_WITHIN: Duration = Duration::from_secs(25);
+/// Clients of each gateway.
+const CLIENTS_PER_GATEWAY: usize = 12;
+/// Interval at which a client sends statements, whatever their outcome.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Time within which a fleet whose faults are undone must have granted its whole budget again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// What a plan came to.
+/// The result of a plan.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What did not hold.
-    pub broken: Option<String>,
-    /// How long after the last fault was healed all that can be given was given.
-    pub well_after: Option<Duration>,
+    /// The first broken invariant.
+    pub violation: Option<String>,
+    /// Time after the last fault was undone until the budget was granted again.
+    pub recovered_after: Option<Duration>,
+    /// Statements completed.
     pub completed: u64,
 }
 
-/// Ways as the troubles in force leave them.
+/// The network faults in force, each with its end.
 #[derive(Default)]
-struct Troubles {
+struct ActiveFaults {
     cuts: BTreeMap<(usize, usize), Duration>,
     splits: Vec<(usize, Duration)>,
-    all: Option<(Way, Duration)>,
+    everywhere: Option<(PathState, Duration)>,
     late: BTreeMap<usize, (Duration, Duration)>,
 }
 
-impl Troubles {
-    fn way(&self, now: Duration, from: usize, to: usize) -> Way {
-        let mut way = self.all.filter(|(_, until)| now < *until).map_or(Way::default(), |(way, _)| way);
+impl ActiveFaults {
+    /// The state of the path from one gateway to another.
+    fn path(&self, now: Duration, from: usize, to: usize) -> PathState {
+        let mut path =
+            self.everywhere.filter(|(_, until)| now < *until).map_or(PathState::default(), |(path, _)| path);
         let cut = self.cuts.get(&(from, to)).is_some_and(|until| now < *until);
         let split = self.splits.iter().any(|(at, until)| now < *until && (from < *at) != (to < *at));
-        way.cut |= cut || split;
+        path.cut |= cut || split;
         for who in [from, to] {
             let late = self.late.get(&who).filter(|(_, until)| now < *until);
-            way.late = way.late.max(late.map_or(Duration::ZERO, |(by, _)| *by));
+            path.max_delay = path.max_delay.max(late.map_or(Duration::ZERO, |(by, _)| *by));
         }
-        way
+        path
     }
 
-    /// When something heals next.
-    fn due(&self, now: Duration) -> Option<Duration> {
+    /// When the next fault ends.
+    fn next_end(&self, now: Duration) -> Option<Duration> {
         let cuts = self.cuts.values().copied();
         let splits = self.splits.iter().map(|(_, until)| *until);
-        let all = self.all.iter().map(|(_, until)| *until);
+        let everywhere = self.everywhere.iter().map(|(_, until)| *until);
         let late = self.late.values().map(|(_, until)| *until);
-        cuts.chain(splits).chain(all).chain(late).filter(|until| *until > now).min()
+        cuts.chain(splits).chain(everywhere).chain(late).filter(|until| *until > now).min()
     }
 }
 
-/// Faults that processes can be put to: their clocks are what they are.
-pub fn for_processes(plan: Faults) -> Faults {
-    let clocks = |fault: &Fault| matches!(fault, Fault::JumpOn(..) | Fault::JumpBack(..) | Fault::Lies(_));
-    plan.into_iter().filter(|(_, fault)| !clocks(fault)).collect()
+/// The faults of a plan that can be injected into processes: all but clock jumps and false reports of need.
+pub fn for_processes(plan: Plan) -> Plan {
+    let unsupported =
+        |fault: &Fault| matches!(fault, Fault::JumpOn(..) | Fault::JumpBack(..) | Fault::Lies(_));
+    plan.into_iter().filter(|(_, fault)| !unsupported(fault)).collect()
 }
 
-pub fn play(fleet: Plan, faults: &Faults, program: &Path) -> io::Result<Outcome> {
-    let mut world = World::new(fleet, program)?;
+/// Runs a plan against a new fleet.
+pub fn run(spec: FleetSpec, plan: &Plan, program: &Path) -> io::Result<Outcome> {
+    let mut world = World::new(spec, program)?;
     world.start_all()?;
-    world.becomes(WELL_WITHIN, |world| world.keeper().is_some());
-    let gateways = world.plan.gateways;
-    let mut clients: Vec<Clients> = (0..gateways).map(|at| world.clients(at, CLIENTS, EVERY)).collect();
+    world.holds_within(RECOVERY_TIMEOUT, |world| world.leader().is_some());
+    let gateways = world.spec.gateways;
+    let mut clients: Vec<Clients> =
+        (0..gateways).map(|at| world.clients(at, CLIENTS_PER_GATEWAY, REQUEST_INTERVAL)).collect();
     let mut completed = 0;
-    let mut troubles = Troubles::default();
-    // What is planned, and what follows from it: processes that go on, or start again.
-    let mut steps: Vec<(Duration, Step)> =
-        faults.iter().map(|(at, fault)| (*at, Step::Fault(fault.clone()))).collect();
-    let began = Instant::now();
+    let mut active = ActiveFaults::default();
+    // The planned faults and the actions that follow from them, such as resuming or restarting a process.
+    let mut actions: Vec<(Duration, Action)> =
+        plan.iter().map(|(at, fault)| (*at, Action::Fault(fault.clone()))).collect();
+    let started = Instant::now();
     loop {
-        steps.sort_by_key(|(at, _)| *at);
-        let now = began.elapsed();
-        let next = steps.first().map(|(at, _)| *at);
-        let wake = next.into_iter().chain(troubles.due(now)).min();
+        actions.sort_by_key(|(at, _)| *at);
+        let now = started.elapsed();
+        let next = actions.first().map(|(at, _)| *at);
+        let wake = next.into_iter().chain(active.next_end(now)).min();
         let Some(wake) = wake else { break };
         std::thread::sleep(wake.saturating_sub(now));
-        let now = began.elapsed();
-        while steps.first().is_some_and(|(at, _)| *at <= now) {
-            match steps.remove(0).1 {
-                Step::EnginesRead(at) => world.set_engines(at, Streams::Well),
-                Step::GoOn(at) => world.go_on(at),
-                Step::Start(at) => world.start(at)?,
-                Step::Fault(Fault::Demand(at, per_second)) => {
-                    completed += clients[at].tally.completed();
-                    let many = (per_second as usize / 10).clamp(1, 40);
-                    clients[at] = world.clients(at, many, EVERY);
+        let now = started.elapsed();
+        while actions.first().is_some_and(|(at, _)| *at <= now) {
+            match actions.remove(0).1 {
+                Action::OpenStreams(at) => world.set_streams_of_gateway(at, StreamState::Open),
+                Action::Resume(at) => world.resume(at),
+                Action::Start(at) => world.start(at)?,
+                Action::Fault(Fault::Demand(at, per_second)) => {
+                    completed += clients[at].counts.completed();
+                    let count = (per_second as usize / 10).clamp(1, 40);
+                    clients[at] = world.clients(at, count, REQUEST_INTERVAL);
                 }
-                Step::Fault(fault) => {
-                    let more = cause(&mut world, &mut troubles, now, fault)?;
-                    steps.extend(more.into_iter().map(|(wait, step)| (now + wait, step)));
+                Action::Fault(fault) => {
+                    let follow_ups = inject(&mut world, &mut active, now, fault)?;
+                    actions.extend(follow_ups.into_iter().map(|(delay, action)| (now + delay, action)));
                 }
             }
         }
         for (from, to) in
             (0..gateways).flat_map(|a| (0..gateways).map(move |b| (a, b))).filter(|(a, b)| a != b)
         {
-            world.set_way(from, to, troubles.way(now, from, to));
+            world.set_path(from, to, active.path(now, from, to));
         }
     }
-    (0..gateways).for_each(|at| world.go_on(at));
+    (0..gateways).for_each(|at| world.resume(at));
     world.start_all()?;
-    let healed = Instant::now();
-    // Every gateway wants more than its part now.
-    clients.extend((0..gateways).map(|at| world.clients(at, CLIENTS, EVERY)));
-    let whole = world.plan.whole;
-    let well = world.becomes(WELL_WITHIN, |world| {
-        (0..gateways).map(|at| world.has(at)).sum::<u64>() >= whole - whole / 8
+    let recovery_started = Instant::now();
+    // The demand of every gateway now exceeds its share.
+    clients.extend((0..gateways).map(|at| world.clients(at, CLIENTS_PER_GATEWAY, REQUEST_INTERVAL)));
+    let whole = world.spec.whole;
+    let recovered = world.holds_within(RECOVERY_TIMEOUT, |world| {
+        (0..gateways).map(|at| world.granted(at)).sum::<u64>() >= whole - whole / 8
     });
-    let well_after = well.then(|| healed.elapsed());
-    completed += clients.iter().map(|of| of.tally.completed()).sum::<u64>();
-    let mut broken = world.verdict().err();
-    if !well && broken.is_none() {
-        broken = Some(format!("not well again: {}", world.shown()));
+    let recovered_after = recovered.then(|| recovery_started.elapsed());
+    completed += clients.iter().map(|of| of.counts.completed()).sum::<u64>();
+    let mut violation = world.check_invariants().err();
+    if !recovered && violation.is_none() {
+        violation = Some(format!("the fleet did not recover: {}", world.describe()));
     }
-    Ok(Outcome { broken, well_after, completed })
+    Ok(Outcome { violation, recovered_after, completed })
 }
 
-enum Step {
+/// Something that is due at a time of the run.
+enum Action {
     Fault(Fault),
-    GoOn(usize),
+    Resume(usize),
     Start(usize),
-    EnginesRead(usize),
+    /// Opens a gateway's connections to all engines again.
+    OpenStreams(usize),
 }
 
-/// Causes it, and says what is to be done so much later.
-fn cause(
+/// Injects a fault and returns the actions that follow from it, each with its delay.
+fn inject(
     world: &mut World,
-    troubles: &mut Troubles,
+    active: &mut ActiveFaults,
     now: Duration,
     fault: Fault,
-) -> io::Result<Vec<(Duration, Step)>> {
-    let gateways = world.plan.gateways;
-    let mut later = Vec::new();
+) -> io::Result<Vec<(Duration, Action)>> {
+    let gateways = world.spec.gateways;
+    let mut follow_ups = Vec::new();
     match fault {
         Fault::Kill(at) => world.kill(at),
         Fault::KillUnread(at, lasts) => {
-            world.set_engines(at, Streams::Silent);
+            world.set_streams_of_gateway(at, StreamState::Stalled);
             world.kill(at);
-            world.set_engines(at, Streams::Held);
-            later.push((lasts, Step::EnginesRead(at)));
+            world.set_streams_of_gateway(at, StreamState::ExistingStalled);
+            follow_ups.push((lasts, Action::OpenStreams(at)));
         }
-        Fault::LoseRecord(at) => world.lose_record(at),
+        Fault::LoseRecord(at) => world.delete_record(at),
         Fault::Start(at) => world.start(at)?,
-        Fault::Leave(at) => world.leave(at),
+        Fault::Leave(at) => world.terminate(at),
         Fault::Pause(at, lasts) => {
             world.pause(at);
-            later.push((lasts, Step::GoOn(at)));
+            follow_ups.push((lasts, Action::Resume(at)));
         }
-        Fault::Cut { from, to, lasts } => drop(troubles.cuts.insert((from, to), now + lasts)),
-        Fault::Split { at, lasts } => troubles.splits.push((at, now + lasts)),
+        Fault::Cut { from, to, lasts } => drop(active.cuts.insert((from, to), now + lasts)),
+        Fault::Split { at, lasts } => active.splits.push((at, now + lasts)),
         Fault::Lossy { lost, doubled, late, lasts } => {
-            let late = if late > 0 { 500 * MS } else { Duration::ZERO };
-            troubles.all =
-                Some((Way { cut: false, lost: lost as u8, doubled: doubled as u8, late }, now + lasts));
+            let max_delay = if late > 0 { 500 * MS } else { Duration::ZERO };
+            active.everywhere = Some((
+                PathState {
+                    cut: false,
+                    loss_percent: lost as u8,
+                    duplicate_percent: doubled as u8,
+                    max_delay,
+                },
+                now + lasts,
+            ));
         }
-        Fault::Slow { by, lasts } => troubles.all = Some((Way { late: by, ..Way::default() }, now + lasts)),
-        Fault::Late { who, by, lasts } => drop(troubles.late.insert(who, (by, now + lasts))),
+        Fault::Slow { by, lasts } => {
+            active.everywhere = Some((PathState { max_delay: by, ..PathState::default() }, now + lasts))
+        }
+        Fault::Late { who, by, lasts } => drop(active.late.insert(who, (by, now + lasts))),
         Fault::Replay(_) => world.replay_all(),
         Fault::KillAll { back } | Fault::KillMost { back } => {
             let most = matches!(fault, Fault::KillMost { .. });
             for at in (0..gateways).filter(|at| !most || at % 10 < 7) {
                 world.kill(at);
-                later.push((back, Step::Start(at)));
+                follow_ups.push((back, Action::Start(at)));
             }
         }
         Fault::Demand(..) | Fault::JumpOn(..) | Fault::JumpBack(..) | Fault::Lies(_) => {}
     }
-    Ok(later)
+    Ok(follow_ups)
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -4,7 +4,7 @@
 use bramblewharf_gateway::{cli, machine_time, policy_cli, Ports};
 use bramblewharf_rig::allocations::CountingAllocator;
 use bramblewharf_rig::campaign;
-use bramblewharf_rig::plan::{draw, kinds, smaller, Plan};
+use bramblewharf_rig::plan::{count_by_kind, generate, minimize, Plan};
 use bramblewharf_rig::scale::{self, Scale};
 use bramblewharf_rig::simulated::{play, Fleet};
 use bramblewharf_rig::soak;
@@ -218,16 +218,16 @@
 }
 
 fn simulate(from: u64, plans: u64, gateways: usize, seats: u8, faults: usize, lasts: Duration) -> ExitCode {
-    let plan = |seed| draw(seed, gateways, usize::from(seats), lasts.mul_f64(0.8), faults);
+    let plan = |seed| generate(seed, gateways, usize::from(seats), lasts.mul_f64(0.8), faults);
     let fleet = |seed| Fleet { gateways, places: gateways as u32, seats, seed, ..Fleet::default() };
     let fails = |seed: u64, plan: &Plan| play(fleet(seed), plan.clone(), lasts).broken;
     let broken: Vec<u64> =
         (from..from + plans).into_par_iter().filter(|seed| fails(*seed, &plan(*seed)).is_some()).collect();
     let all: Vec<Plan> = (from..from + plans).map(plan).collect();
     println!("{plans} plans, {gateways} gateways, {seats} seats: {} broke", broken.len());
-    kinds(all.iter()).iter().for_each(|(kind, count)| println!("  {kind:12} {count}"));
+    count_by_kind(all.iter()).iter().for_each(|(kind, count)| println!("  {kind:12} {count}"));
     for seed in broken.iter().take(3) {
-        let small = smaller(plan(*seed), |plan| fails(*seed, plan).is_some());
+        let small = minimize(plan(*seed), |plan| fails(*seed, plan).is_some());
         println!("seed {seed}: {:?}\n  by {small:#?}", fails(*seed, &small));
     }
     if broken.is_empty() {
@@ -252,16 +252,21 @@
             return ExitCode::FAILURE;
         }
     };
-    let plan = |seed| campaign::for_processes(draw(seed, gateways, seats, lasts, faults));
-    let fleet =
-        |seed| world::Plan { gateways, seats, whole: 6 * gateways as u64, seed, ..world::Plan::default() };
+    let plan = |seed| campaign::for_processes(generate(seed, gateways, seats, lasts, faults));
+    let fleet = |seed| world::FleetSpec {
+        gateways,
+        voters: seats,
+        whole: 6 * gateways as u64,
+        seed,
+        ..world::FleetSpec::default()
+    };
     let (mut broke, mut slowest, mut completed) = (0, Duration::ZERO, 0);
     for seed in from..from + plans {
-        match campaign::play(fleet(seed), &plan(seed), &program) {
+        match campaign::run(fleet(seed), &plan(seed), &program) {
             Ok(outcome) => {
                 completed += outcome.completed;
-                slowest = slowest.max(outcome.well_after.unwrap_or_default());
-                if let Some(broken) = outcome.broken {
+                slowest = slowest.max(outcome.recovered_after.unwrap_or_default());
+                if let Some(broken) = outcome.violation {
                     broke += 1;
                     println!("seed {seed}: {broken}\n  by {:?}", plan(seed));
                 }
@@ -277,7 +282,7 @@
         "{plans} plans, {gateways} processes, {seats} seats: {broke} broke; {completed} statements completed; \
          well again at the latest {slowest:.1?} after the last fault"
     );
-    kinds(all.iter()).iter().for_each(|(kind, count)| println!("  {kind:12} {count}"));
+    count_by_kind(all.iter()).iter().for_each(|(kind, count)| println!("  {kind:12} {count}"));
     if broke == 0 {
         ExitCode::SUCCESS
     } else {
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,74 +1,54 @@
-//! What breaks, and when: drawn from a seed, or given; and made smaller where it shows a fault of ours.
+//! Fault plans: what fails and when, generated from a seed or given, and reduced to a minimal plan where one
+//! breaks an invariant.
 
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One thing that goes wrong, or right again.
+/// One fault, or its end; the names are printed in reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The process is gone at once; what it had running goes on at the engines for a while.
+    /// SIGKILL; the process's executions keep running at the engines for a while.
     Kill(usize),
-    /// The process is gone at once, and engines read what it sent so much later, whatever they answer meanwhile.
+    /// SIGKILL; engines read what the process has sent only after this time, though they answer new
+    /// connections.
     KillUnread(usize, Duration),
-    /// The file of what a gateway has out is gone.
+    /// The file in which a gateway records its executions in flight is lost.
     LoseRecord(usize),
-    /// A new process under the same place, if there is none.
+    /// A new process under the same member id, if none runs.
     Start(usize),
-    /// It stands still for so long, and then goes on with what it had.
+    /// The process is paused for this time and then continues with its state.
     Pause(usize, Duration),
-    /// It leaves on purpose.
+    /// An orderly shutdown.
     Leave(usize),
-    /// One way between two is cut.
-    Cut {
-        from: usize,
-        to: usize,
-        lasts: Duration,
-    },
-    /// These and the rest don't hear each other.
-    Split {
-        at: usize,
-        lasts: Duration,
-    },
-    /// Messages are lost, doubled or late, in percent, anywhere.
-    Lossy {
-        lost: u32,
-        doubled: u32,
-        late: u32,
-        lasts: Duration,
-    },
-    /// Late messages are late by up to so much.
-    Slow {
-        by: Duration,
-        lasts: Duration,
-    },
-    /// What one says and hears is late by up to so much.
-    Late {
-        who: usize,
-        by: Duration,
-        lasts: Duration,
-    },
-    /// So many messages of before come again.
+    /// The path from one gateway to another is cut.
+    Cut { from: usize, to: usize, lasts: Duration },
+    /// A partition between the gateways below `at` and the rest.
+    Split { at: usize, lasts: Duration },
+    /// Messages anywhere are lost, duplicated or late, in percent.
+    Lossy { lost: u32, doubled: u32, late: u32, lasts: Duration },
+    /// Messages anywhere are delayed by up to this.
+    Slow { by: Duration, lasts: Duration },
+    /// Messages from and to one gateway are delayed by up to this.
+    Late { who: usize, by: Duration, lasts: Duration },
+    /// This many earlier messages are delivered again.
     Replay(usize),
-    /// A clock goes on so much later, or earlier.
+    /// A gateway's clock jumps forward.
     JumpOn(usize, Duration),
+    /// A gateway's clock jumps back.
     JumpBack(usize, Duration),
-    /// How many statements a second come there.
+    /// The number of statements that a gateway receives per second changes.
     Demand(usize, u32),
-    /// Its answers to what it needs are lies: all of everything.
+    /// A gateway reports that it needs everything of every budget.
     Lies(usize),
-    /// All are killed, and started again so much later.
-    KillAll {
-        back: Duration,
-    },
-    /// Of ten, seven are killed, and started again.
-    KillMost {
-        back: Duration,
-    },
+    /// All processes are killed, and started again after `back`.
+    KillAll { back: Duration },
+    /// Seven of every ten processes are killed, and started again after `back`.
+    KillMost { back: Duration },
 }
 
 impl Fault {
-    /// Of what kind it is, for counting what was caused.
+    /// The kind of the fault, for counts in reports.
     pub fn kind(&self) -> &'static str {
         match self {
             Fault::Kill(_) => "kill",
@@ -93,18 +73,19 @@
     }
 }
 
+/// Faults with the times at which they begin.
 pub type Plan = Vec<(Duration, Fault)>;
 
-/// A plan of `faults` faults within `span` for so many gateways, the seats first among them.
-pub fn draw(seed: u64, gateways: usize, seats: usize, span: Duration, faults: usize) -> Plan {
+/// Generates a plan of `faults` faults within `span`; the first `voters` gateways are voters.
+pub fn generate(seed: u64, gateways: usize, voters: usize, span: Duration, faults: usize) -> Plan {
     let mut rng = WyRand::new_seed(seed);
     let ms = |rng: &mut WyRand, from: u64, to: u64| Duration::from_millis(rng.generate_range(from..to));
     let mut plan = Plan::new();
     for _ in 0..faults {
         let at = ms(&mut rng, 500, span.as_millis() as u64);
-        // Seats are hit as often as all others together: where the agreement is made, most can go wrong.
-        let most = if rng.generate_range(0..2) == 0 { seats } else { gateways };
-        let who = rng.generate_range(0..most);
+        // Half of the faults hit voters only, as failures there can break the agreement.
+        let candidates = if rng.generate_range(0..2) == 0 { voters } else { gateways };
+        let who = rng.generate_range(0..candidates);
         let lasts = ms(&mut rng, 100, 6000);
         let fault = match rng.generate_range(0..20u32) {
             0..=2 => {
@@ -140,18 +121,18 @@
     plan
 }
 
-/// The smallest plan found, by leaving faults out, that `fails` still.
-pub fn smaller(plan: Plan, fails: impl Fn(&Plan) -> bool) -> Plan {
+/// Reduces a failing plan: removes faults as long as `fails` still holds for the rest.
+pub fn minimize(plan: Plan, fails: impl Fn(&Plan) -> bool) -> Plan {
     let mut plan = plan;
     let mut step = plan.len().div_ceil(2).max(1);
     loop {
         let mut at = 0;
         let before = plan.len();
         while at < plan.len() {
-            let mut less = plan.clone();
-            less.drain(at..(at + step).min(plan.len()));
-            if fails(&less) {
-                plan = less;
+            let mut reduced = plan.clone();
+            reduced.drain(at..(at + step).min(plan.len()));
+            if fails(&reduced) {
+                plan = reduced;
             } else {
                 at += step;
             }
@@ -163,9 +144,9 @@
     }
 }
 
-/// How often each kind of fault is in these plans.
-pub fn kinds<'a>(plans: impl Iterator<Item = &'a Plan>) -> BTreeMap<&'static str, usize> {
-    let mut kinds = BTreeMap::new();
-    plans.flatten().for_each(|(_, fault)| *kinds.entry(fault.kind()).or_default() += 1);
-    kinds
+/// How often each kind of fault occurs in the plans.
+pub fn count_by_kind<'a>(plans: impl Iterator<Item = &'a Plan>) -> BTreeMap<&'static str, usize> {
+    let mut counts = BTreeMap::new();
+    plans.flatten().for_each(|(_, fault)| *counts.entry(fault.kind()).or_default() += 1);
+    counts
 }
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,7 +1,8 @@
-//! Stands between processes: each way of each link can be cut, held, lost, doubled, delayed or broken alone.
+//! Relays between processes, which inject network faults into each direction of each link: cuts, loss,
+//! duplicates and delay of datagrams; stalls, refusals and resets of streams.
 //!
-//! For datagrams a link has a socket on each side, so that each process has an address of its own for each other; for streams
-//! each process has its own address for each engine, and a connection through it can be cut, held silent or reset.
+//! A datagram link has a socket on each side, so that each process knows every other by an address of its
+//! own. For streams, each process reaches each engine by an address of its own.
 
 use std::collections::BinaryHeap;
 use std::io::{self, Read, Write};
@@ -10,98 +11,102 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const LONGEST: usize = 2048;
-/// How often a thread that waits for bytes looks whether it is still wanted.
-const LOOK: Duration = Duration::from_millis(20);
+/// Largest datagram that is relayed.
+const MAX_DATAGRAM: usize = 2048;
+/// Interval at which a thread that waits for bytes checks for shutdown.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One way of a link, as it is now.
+/// The state of one direction of a datagram link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct PathState {
     pub cut: bool,
-    /// In percent.
-    pub lost: u8,
-    pub doubled: u8,
-    /// Up to so late, each by chance.
-    pub late: Duration,
+    pub loss_percent: u8,
+    pub duplicate_percent: u8,
+    /// Each datagram is delayed by a random time up to this.
+    pub max_delay: Duration,
 }
 
-/// What a link does to datagrams, and what it did.
+/// A datagram link with the state of both directions.
 #[derive(Default)]
 pub struct Link {
-    ways: Mutex<[Way; 2]>,
-    pub passed: AtomicU64,
+    directions: Mutex<[PathState; 2]>,
+    pub forwarded: AtomicU64,
     pub dropped: AtomicU64,
-    /// Datagrams that passed of late, to come again.
-    kept: Mutex<Vec<(usize, Vec<u8>)>>,
-    again: AtomicBool,
-    over: AtomicBool,
+    /// Datagrams that a replay sends again, with their directions.
+    recorded: Mutex<Vec<(usize, Vec<u8>)>>,
+    replay_requested: AtomicBool,
+    shutdown: AtomicBool,
 }
 
 impl Link {
-    /// `way` 0 goes from the first side to the second.
-    pub fn set(&self, way: usize, state: Way) {
-        if let Ok(mut ways) = self.ways.lock() {
-            ways[way] = state;
+    /// Sets the state of a direction; 0 goes from the first side to the second.
+    pub fn set(&self, direction: usize, state: PathState) {
+        if let Ok(mut directions) = self.directions.lock() {
+            directions[direction] = state;
         }
     }
 
-    pub fn set_both(&self, state: Way) {
+    /// Sets the state of both directions.
+    pub fn set_both(&self, state: PathState) {
         self.set(0, state);
         self.set(1, state);
     }
 
-    /// All that was kept comes once more.
+    /// Sends the recorded datagrams from the first side to the second once more.
     pub fn replay(&self) {
-        self.again.store(true, Ordering::SeqCst);
+        self.replay_requested.store(true, Ordering::SeqCst);
     }
 }
 
-/// A link between two processes: where each sends what is for the other.
+/// The relay of a datagram link between two processes.
 pub struct UdpRelay {
-    /// Where the first finds the second, and the second the first.
+    /// The address at which the first process reaches the second, and the second the first.
     pub addresses: [SocketAddr; 2],
     pub link: Arc<Link>,
 }
 
-struct Late {
-    at: Instant,
+struct DelayedDatagram {
+    due: Instant,
     bytes: Vec<u8>,
 }
 
-impl PartialEq for Late {
-    fn eq(&self, other: &Late) -> bool {
-        self.at == other.at
+impl PartialEq for DelayedDatagram {
+    fn eq(&self, other: &DelayedDatagram) -> bool {
+        self.due == other.due
     }
 }
-impl Eq for Late {}
-impl PartialOrd for Late {
-    fn partial_cmp(&self, other: &Late) -> Option<std::cmp::Ordering> {
+impl Eq for DelayedDatagram {}
+impl PartialOrd for DelayedDatagram {
+    fn partial_cmp(&self, other: &DelayedDatagram) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Late {
-    fn cmp(&self, other: &Late) -> std::cmp::Ordering {
-        other.at.cmp(&self.at)
+impl Ord for DelayedDatagram {
+    fn cmp(&self, other: &DelayedDatagram) -> std::cmp::Ordering {
+        other.due.cmp(&self.due)
     }
 }
 
 impl UdpRelay {
-    /// Sockets of a link whose ends are not known yet.
+    /// Binds the sockets of a link, whose addresses are needed before its ends are known.
     pub fn bind() -> io::Result<[UdpSocket; 2]> {
         Ok([UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?, UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?])
     }
 
-    /// Between two processes that listen at `ends`. What comes to the socket on the first's side is from the first.
+    /// Relays between two processes that listen at `ends`. Datagrams to the first socket come from the first
+    /// process.
     pub fn start(sockets: [UdpSocket; 2], ends: [SocketAddr; 2], seed: u64) -> io::Result<UdpRelay> {
         let addresses = [sockets[0].local_addr()?, sockets[1].local_addr()?];
         let link = Arc::new(Link::default());
         for socket in &sockets {
-            socket.set_read_timeout(Some(LOOK))?;
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
         }
-        for way in 0..2 {
-            let (from, to) = (sockets[way].try_clone()?, sockets[1 - way].try_clone()?);
-            let (link, end) = (link.clone(), ends[1 - way]);
-            std::thread::spawn(move || carry(way, &from, &to, end, &link, seed + way as u64));
+        for direction in 0..2 {
+            let (from, to) = (sockets[direction].try_clone()?, sockets[1 - direction].try_clone()?);
+            let (link, end) = (link.clone(), ends[1 - direction]);
+            std::thread::spawn(move || {
+                forward_datagrams(direction, &from, &to, end, &link, seed + direction as u64)
+            });
         }
         Ok(UdpRelay { addresses, link })
     }
@@ -109,120 +114,130 @@
 
 impl Drop for UdpRelay {
     fn drop(&mut self) {
-        self.link.over.store(true, Ordering::SeqCst);
+        self.link.shutdown.store(true, Ordering::SeqCst);
     }
 }
 
-fn carry(way: usize, from: &UdpSocket, to: &UdpSocket, end: SocketAddr, link: &Link, seed: u64) {
+fn forward_datagrams(
+    direction: usize,
+    from: &UdpSocket,
+    to: &UdpSocket,
+    end: SocketAddr,
+    link: &Link,
+    seed: u64,
+) {
     use nanorand::Rng;
     let mut rng = nanorand::WyRand::new_seed(seed);
-    let mut bytes = [0; LONGEST];
-    let mut late = BinaryHeap::new();
-    while !link.over.load(Ordering::SeqCst) {
-        let state = link.ways.lock().map(|ways| ways[way]).unwrap_or_default();
-        let wait =
-            late.peek().map_or(LOOK, |first: &Late| first.at.saturating_duration_since(Instant::now()));
-        let _ = from.set_read_timeout(Some(wait.clamp(Duration::from_millis(1), LOOK)));
+    let mut bytes = [0; MAX_DATAGRAM];
+    let mut delayed = BinaryHeap::new();
+    while !link.shutdown.load(Ordering::SeqCst) {
+        let state = link.directions.lock().map(|directions| directions[direction]).unwrap_or_default();
+        let wait = delayed.peek().map_or(POLL_INTERVAL, |first: &DelayedDatagram| {
+            first.due.saturating_duration_since(Instant::now())
+        });
+        let _ = from.set_read_timeout(Some(wait.clamp(Duration::from_millis(1), POLL_INTERVAL)));
         if let Ok((length, _)) = from.recv_from(&mut bytes) {
             let bytes = bytes[..length].to_vec();
-            if let Ok(mut kept) = link.kept.lock() {
-                if kept.len() < 256 {
-                    kept.push((way, bytes.clone()));
+            if let Ok(mut recorded) = link.recorded.lock() {
+                if recorded.len() < 256 {
+                    recorded.push((direction, bytes.clone()));
                 }
             }
             let percent = |rng: &mut nanorand::WyRand, of: u8| rng.generate_range(0..100u8) < of;
-            if state.cut || percent(&mut rng, state.lost) {
+            if state.cut || percent(&mut rng, state.loss_percent) {
                 link.dropped.fetch_add(1, Ordering::Relaxed);
             } else {
-                link.passed.fetch_add(1, Ordering::Relaxed);
-                let copies = 1 + usize::from(percent(&mut rng, state.doubled));
+                link.forwarded.fetch_add(1, Ordering::Relaxed);
+                let copies = 1 + usize::from(percent(&mut rng, state.duplicate_percent));
                 for _ in 0..copies {
-                    let most = state.late.as_micros() as u64;
-                    let wait = if most == 0 { 0 } else { rng.generate_range(0..most) };
-                    let at = Instant::now() + Duration::from_micros(wait);
-                    late.push(Late { at, bytes: bytes.clone() });
+                    let max_delay = state.max_delay.as_micros() as u64;
+                    let wait = if max_delay == 0 { 0 } else { rng.generate_range(0..max_delay) };
+                    let due = Instant::now() + Duration::from_micros(wait);
+                    delayed.push(DelayedDatagram { due, bytes: bytes.clone() });
                 }
             }
         }
-        if way == 0 && link.again.swap(false, Ordering::SeqCst) {
-            let kept = link.kept.lock().map(|kept| kept.clone()).unwrap_or_default();
-            for (_, bytes) in kept.into_iter().filter(|(of, _)| *of == way) {
-                late.push(Late { at: Instant::now(), bytes });
+        if direction == 0 && link.replay_requested.swap(false, Ordering::SeqCst) {
+            let recorded = link.recorded.lock().map(|recorded| recorded.clone()).unwrap_or_default();
+            for (_, bytes) in recorded.into_iter().filter(|(of, _)| *of == direction) {
+                delayed.push(DelayedDatagram { due: Instant::now(), bytes });
             }
         }
-        while late.peek().is_some_and(|first| first.at <= Instant::now()) {
-            let Some(Late { bytes, .. }) = late.pop() else { break };
+        while delayed.peek().is_some_and(|first| first.due <= Instant::now()) {
+            let Some(DelayedDatagram { bytes, .. }) = delayed.pop() else { break };
             let _ = to.send_to(&bytes, end);
         }
     }
 }
 
-/// What a link of streams does.
+/// The state of the connections through a stream relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Streams {
+pub enum StreamState {
     #[default]
-    Well,
-    /// Open, and silent.
-    Silent,
-    /// Connections that were open by then are silent, new ones are well.
-    Held,
-    /// New connections are refused, and those that are open reset.
-    Gone,
+    Open,
+    /// Connections stay open, but nothing is forwarded.
+    Stalled,
+    /// Nothing is forwarded on connections that were open when this state was set; new ones work.
+    ExistingStalled,
+    /// New connections are refused and open ones are reset.
+    Refused,
 }
 
-/// Carries connections to an engine.
+/// The relay of one process's connections to an engine.
 pub struct TcpRelay {
     pub address: SocketAddr,
-    /// Connections that came, whatever became of them.
-    pub came: Arc<AtomicU64>,
-    state: Arc<Mutex<Streams>>,
-    /// How often the state has changed.
+    /// Number of connections accepted so far.
+    pub connections: Arc<AtomicU64>,
+    state: Arc<Mutex<StreamState>>,
+    /// How often the state was set.
     changes: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
 }
 
 impl TcpRelay {
+    /// Starts a relay to an engine on a free port.
     pub fn start(to: SocketAddr) -> io::Result<TcpRelay> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        let (state, over) = (Arc::new(Mutex::new(Streams::Well)), Arc::new(AtomicBool::new(false)));
-        let (of, ends) = (state.clone(), over.clone());
-        let came = Arc::new(AtomicU64::new(0));
-        let counts = came.clone();
+        let (state, shutdown) = (Arc::new(Mutex::new(StreamState::Open)), Arc::new(AtomicBool::new(false)));
+        let (shared_state, shared_shutdown) = (state.clone(), shutdown.clone());
+        let connections = Arc::new(AtomicU64::new(0));
+        let accepted = connections.clone();
         let changes = Arc::new(AtomicU64::new(0));
         let changed = changes.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if ends.load(Ordering::SeqCst) {
+                if shared_shutdown.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                counts.fetch_add(1, Ordering::Relaxed);
-                let (state, over) = (of.clone(), ends.clone());
-                if now(&state) == Streams::Gone {
-                    reset(&stream);
+                accepted.fetch_add(1, Ordering::Relaxed);
+                let (state, shutdown) = (shared_state.clone(), shared_shutdown.clone());
+                if current(&state) == StreamState::Refused {
+                    reset_connection(&stream);
                     continue;
                 }
                 let Ok(other) = TcpStream::connect(to) else {
-                    reset(&stream);
+                    reset_connection(&stream);
                     continue;
                 };
                 let _ = (stream.set_nodelay(true), other.set_nodelay(true));
                 for (from, into) in [(&stream, &other), (&other, &stream)] {
                     let (Ok(from), Ok(into)) = (from.try_clone(), into.try_clone()) else { continue };
-                    let (state, over) = (state.clone(), over.clone());
+                    let (state, shutdown) = (state.clone(), shutdown.clone());
                     let (opened, changed) = (changed.load(Ordering::SeqCst), changed.clone());
                     let was_open = move || opened < changed.load(Ordering::SeqCst);
-                    std::thread::spawn(move || pass(from, into, &state, &was_open, &over));
+                    std::thread::spawn(move || forward_stream(from, into, &state, &was_open, &shutdown));
                 }
             }
         });
-        Ok(TcpRelay { address, came, state, changes, over })
+        Ok(TcpRelay { address, connections, state, changes, shutdown })
     }
 
-    pub fn set(&self, state: Streams) {
-        if let Ok(mut now) = self.state.lock() {
-            *now = state;
+    /// Sets the state of the relay.
+    pub fn set(&self, state: StreamState) {
+        if let Ok(mut current) = self.state.lock() {
+            *current = state;
             self.changes.fetch_add(1, Ordering::SeqCst);
         }
     }
@@ -230,41 +245,41 @@
 
 impl Drop for TcpRelay {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.shutdown.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
     }
 }
 
-fn now(state: &Mutex<Streams>) -> Streams {
+fn current(state: &Mutex<StreamState>) -> StreamState {
     state.lock().map(|state| *state).unwrap_or_default()
 }
 
-/// Its end, with nothing said.
-pub fn reset(stream: &TcpStream) {
+/// Closes a connection by a TCP reset.
+pub fn reset_connection(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// `was_open`: whether this connection was open when the state changed last.
-fn pass(
+/// Forwards one direction of a connection; `was_open` says whether it was open when the state was set last.
+fn forward_stream(
     mut from: TcpStream,
     mut into: TcpStream,
-    state: &Mutex<Streams>,
+    state: &Mutex<StreamState>,
     was_open: &dyn Fn() -> bool,
-    over: &AtomicBool,
+    shutdown: &AtomicBool,
 ) {
     let mut bytes = [0; 16 * 1024];
-    let _ = from.set_read_timeout(Some(LOOK));
-    while !over.load(Ordering::SeqCst) {
-        match now(state) {
-            Streams::Gone => {
-                reset(&from);
-                reset(&into);
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
+    while !shutdown.load(Ordering::SeqCst) {
+        match current(state) {
+            StreamState::Refused => {
+                reset_connection(&from);
+                reset_connection(&into);
                 return;
             }
-            Streams::Silent => std::thread::sleep(LOOK),
-            Streams::Held if was_open() => std::thread::sleep(LOOK),
-            Streams::Well | Streams::Held => match from.read(&mut bytes) {
+            StreamState::Stalled => std::thread::sleep(POLL_INTERVAL),
+            StreamState::ExistingStalled if was_open() => std::thread::sleep(POLL_INTERVAL),
+            StreamState::Open | StreamState::ExistingStalled => match from.read(&mut bytes) {
                 Ok(0) => {
                     let _ = into.shutdown(Shutdown::Write);
                     return;
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -1,7 +1,7 @@
-//! A fleet of processes of the program itself on loopback: engines, gateways, a relay on each way between them, clients; what
-//! is done to them, and what must hold of the records that they leave.
+//! A fleet of real gateway processes on loopback, with engines, clients and a relay on every path between
+//! processes: faults that can be injected into it, and the checks of the invariants against its records.
 
-use crate::relay::{Link, Streams, TcpRelay, UdpRelay, Way};
+use crate::relay::{Link, PathState, StreamState, TcpRelay, UdpRelay};
 use bramblewharf_gateway::machine_time;
 use bramblewharf_standins::{most_at_once, nobody, Works};
 use serde_json::{json, Value};
@@ -16,67 +16,70 @@
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-/// Nothing waits longer for a fact unless something is broken.
-const LONG: Duration = Duration::from_secs(30);
+/// Longest wait for a state that the fleet must reach.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// A fleet before it is started.
+/// Parameters of a fleet.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct FleetSpec {
     pub gateways: usize,
-    /// The first so many have a seat each.
-    pub seats: usize,
+    /// The first gateways, as many as this, are voters.
+    pub voters: usize,
     pub engines: usize,
+    /// Size of the budget, in statements at once.
     pub whole: u64,
     pub floor_percent: u64,
     pub lease: Duration,
-    pub engines_keep: Duration,
-    /// How long a statement takes, and how long its client waits.
-    pub lasts: Duration,
-    pub waits: Duration,
+    pub orphan_retention: Duration,
+    /// How long a statement runs.
+    pub statement_time: Duration,
+    /// The deadline of each request.
+    pub client_timeout: Duration,
     pub seed: u64,
-    /// A known mistake that all of them make, by its name.
-    pub wrong: Option<&'static str>,
-    /// Gateways may tell one another of engines, in a fleet so large that a slice of an engine is less than a statement. One more
-    /// address is a gateway's that only the test speaks from.
+    /// A bug to inject into every gateway, by its value of `--wrong`.
+    pub injected_bug: Option<&'static str>,
+    /// Gateways exchange gossip about engines, in a fleet so large that a slice of an engine is less than a
+    /// statement. One more peer is configured, whose address only the test uses.
     pub peers: bool,
-    /// The fleet's first policy, where changes of it go through the fleet.
+    /// The initial policy, if the policy is agreed on by the fleet.
     pub policy: Option<&'static str>,
-    /// Gateways keep what they have out in a file, for the process after them.
-    pub records: bool,
-    /// By gateway, clocks that are wrong: parts in a thousand that they are fast.
-    pub clocks: BTreeMap<usize, i64>,
+    /// Gateways record their executions in flight in a file, for the next process.
+    pub keeps_record: bool,
+    /// Clock drift by gateway: how many parts in a thousand its clock is fast.
+    pub clock_drift: BTreeMap<usize, i64>,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
+impl Default for FleetSpec {
+    fn default() -> FleetSpec {
+        FleetSpec {
             gateways: 4,
-            seats: 3,
+            voters: 3,
             engines: 2,
             whole: 24,
             floor_percent: 50,
             lease: Duration::from_secs(1),
-            engines_keep: 600 * MS,
-            lasts: 120 * MS,
-            waits: 900 * MS,
+            orphan_retention: 600 * MS,
+            statement_time: 120 * MS,
+            client_timeout: 900 * MS,
             seed: 1,
-            wrong: None,
+            injected_bug: None,
             peers: false,
             policy: None,
-            records: true,
-            clocks: BTreeMap::new(),
+            keeps_record: true,
+            clock_drift: BTreeMap::new(),
         }
     }
 }
 
-impl Plan {
-    /// How long after a holder's last word what it had is free again, for waiting that long.
-    pub fn until_free(&self) -> Duration {
-        (self.lease * 5 / 4 + self.waits + self.engines_keep).mul_f64(1.03) + 250 * MS
+impl FleetSpec {
+    /// Time after the last message of a grant holder until its grant is free again.
+    pub fn reclaim_delay(&self) -> Duration {
+        (self.lease * 5 / 4 + self.client_timeout + self.orphan_retention).mul_f64(1.03) + 250 * MS
     }
 }
 
-/// Of this process's own host, and never given twice: a process that is to listen there finds it free.
+/// An address of this process's own loopback host that is returned only once, so that a process can listen on
+/// it.
 pub(crate) fn reserve_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
     SocketAddr::new(nobody().ip(), NEXT.fetch_add(1, Ordering::SeqCst))
@@ -84,159 +87,175 @@
 
 struct Process {
     child: Option<Child>,
-    /// When earlier ones were gone, by the machine's clock: each has its own facts.
-    lives: Vec<Life>,
-    clients: SocketAddr,
-    fleet: SocketAddr,
-    peer: SocketAddr,
-    engines: Vec<TcpRelay>,
+    /// The processes so far; each has its own file of facts.
+    runs: Vec<ProcessRun>,
+    client_address: SocketAddr,
+    fleet_address: SocketAddr,
+    peer_address: SocketAddr,
+    /// One relay for each engine.
+    engine_relays: Vec<TcpRelay>,
 }
 
-struct Life {
+struct ProcessRun {
     facts: PathBuf,
-    ended: Option<Duration>,
+    /// When the process had ended, by the machine's clock.
+    ended_at: Option<Duration>,
 }
 
-/// What one client call came to.
+/// The outcome of one statement for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     Completed,
     Rejected,
     Aborted,
-    /// The connection was refused or broke: its gateway is gone.
+    /// The connection was refused or closed: the gateway is down.
     NoAnswer,
 }
 
+/// Counts of the outcomes of a gateway's clients.
 #[derive(Default)]
-pub struct Tally {
+pub struct CallCounts {
     pub completed: AtomicU64,
     pub rejected: AtomicU64,
     pub aborted: AtomicU64,
-    pub nothing: AtomicU64,
-    /// Answers that came later than the client waits.
+    pub unanswered: AtomicU64,
+    /// Answers that came after the client's deadline.
     pub late: AtomicU64,
 }
 
-impl Tally {
+impl CallCounts {
+    /// Statements completed so far.
     pub fn completed(&self) -> u64 {
         self.completed.load(Ordering::SeqCst)
     }
 }
 
-/// Clients of one gateway; they end when this is dropped.
+/// Running clients of one gateway; they end when this is dropped.
 pub struct Clients {
-    over: Arc<AtomicBool>,
-    pub tally: Arc<Tally>,
+    shutdown: Arc<AtomicBool>,
+    pub counts: Arc<CallCounts>,
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.shutdown.store(true, Ordering::SeqCst);
     }
 }
 
+/// The fleet with its engines, relays and files.
 pub struct World {
-    pub plan: Plan,
+    pub spec: FleetSpec,
     pub engines: Vec<Works>,
     gateways: Vec<Process>,
-    /// Between a gateway and a seat's gateway: the first side is the gateway's.
+    /// Links between a gateway and a voter; the first side is the gateway's.
     links: BTreeMap<(usize, usize), UdpRelay>,
-    /// Where the peer is that only the test speaks for.
-    pub stranger: SocketAddr,
+    /// Address of the configured peer that only the test uses.
+    pub test_peer: SocketAddr,
     dir: tempfile::TempDir,
     program: PathBuf,
     ids: Arc<AtomicU64>,
 }
 
 impl World {
-    /// Engines, relays and files; `program` is the one that serves.
-    pub fn new(plan: Plan, program: &Path) -> io::Result<World> {
+    /// Starts engines and relays and writes the common files; `program` is the gateway executable.
+    pub fn new(spec: FleetSpec, program: &Path) -> io::Result<World> {
         let dir = tempfile::tempdir()?;
         fs::write(dir.path().join("key"), "the key of a fleet in the rig")?;
         let engines: Vec<Works> =
-            (0..plan.engines).map(|_| Works::start(plan.lasts, plan.engines_keep)).collect();
+            (0..spec.engines).map(|_| Works::start(spec.statement_time, spec.orphan_retention)).collect();
         let mut gateways = Vec::new();
-        for _ in 0..plan.gateways {
+        for _ in 0..spec.gateways {
             let relays: io::Result<Vec<TcpRelay>> =
                 engines.iter().map(|engine| TcpRelay::start(engine.address)).collect();
-            let (clients, fleet, peer) = (reserve_address(), reserve_address(), reserve_address());
-            gateways.push(Process { child: None, lives: Vec::new(), clients, fleet, peer, engines: relays? });
+            let (client_address, fleet_address, peer_address) =
+                (reserve_address(), reserve_address(), reserve_address());
+            gateways.push(Process {
+                child: None,
+                runs: Vec::new(),
+                client_address,
+                fleet_address,
+                peer_address,
+                engine_relays: relays?,
+            });
         }
         let mut links = BTreeMap::new();
-        for seat in 0..plan.seats {
-            for other in (0..plan.gateways).filter(|other| *other != seat) {
-                // Two seats have one link, whichever asks the other.
-                if other < seat && other < plan.seats {
+        for voter in 0..spec.voters {
+            for other in (0..spec.gateways).filter(|other| *other != voter) {
+                // Two voters share one link.
+                if other < voter && other < spec.voters {
                     continue;
                 }
-                let ends = [gateways[other].fleet, gateways[seat].fleet];
-                links.insert((other, seat), UdpRelay::start(UdpRelay::bind()?, ends, plan.seed)?);
+                let ends = [gateways[other].fleet_address, gateways[voter].fleet_address];
+                links.insert((other, voter), UdpRelay::start(UdpRelay::bind()?, ends, spec.seed)?);
             }
         }
-        let stranger = reserve_address();
+        let test_peer = reserve_address();
         Ok(World {
-            plan,
+            spec,
             engines,
             gateways,
             links,
-            stranger,
+            test_peer,
             dir,
             program: program.into(),
             ids: Arc::default(),
         })
     }
 
-    /// Where `from` finds the seat of `to`.
-    fn way(&self, from: usize, to: usize) -> SocketAddr {
+    /// The address at which `from` reaches the voter `to`.
+    fn voter_address(&self, from: usize, to: usize) -> SocketAddr {
         match self.links.get(&(from, to)) {
-            _ if from == to => self.gateways[to].fleet,
+            _ if from == to => self.gateways[to].fleet_address,
             Some(relay) => relay.addresses[0],
             None => self.links[&(to, from)].addresses[1],
         }
     }
 
-    /// The datagrams between two gateways, and which way of the link goes from the first to the second.
+    /// The link between two gateways, and the index of its direction from the first to the second.
     pub fn link(&self, from: usize, to: usize) -> Option<(Arc<Link>, usize)> {
-        let there = self.links.get(&(from, to)).map(|relay| (relay.link.clone(), 0));
-        there.or_else(|| self.links.get(&(to, from)).map(|relay| (relay.link.clone(), 1)))
+        let forward = self.links.get(&(from, to)).map(|relay| (relay.link.clone(), 0));
+        forward.or_else(|| self.links.get(&(to, from)).map(|relay| (relay.link.clone(), 1)))
     }
 
-    /// What one says no longer reaches the other.
-    pub fn set_way(&self, from: usize, to: usize, state: Way) {
-        if let Some((link, way)) = self.link(from, to) {
-            link.set(way, state);
+    /// Sets the state of the path from one gateway to another.
+    pub fn set_path(&self, from: usize, to: usize, state: PathState) {
+        if let Some((link, direction)) = self.link(from, to) {
+            link.set(direction, state);
         }
     }
 
-    /// Every way to and from a gateway.
-    pub fn set_around(&self, of: usize, heard: Way, said: Way) {
-        for other in (0..self.plan.gateways).filter(|other| *other != of) {
-            self.set_way(other, of, heard);
-            self.set_way(of, other, said);
+    /// Sets the state of every path to and from a gateway.
+    pub fn set_paths_of(&self, of: usize, incoming: PathState, outgoing: PathState) {
+        for other in (0..self.spec.gateways).filter(|other| *other != of) {
+            self.set_path(other, of, incoming);
+            self.set_path(of, other, outgoing);
         }
     }
 
-    pub fn set_all(&self, state: Way) {
+    /// Sets the state of every path between gateways.
+    pub fn set_all_paths(&self, state: PathState) {
         self.links.values().for_each(|relay| relay.link.set_both(state));
     }
 
+    /// Sends recent datagrams of every link again.
     pub fn replay_all(&self) {
         self.links.values().for_each(|relay| relay.link.replay());
     }
 
-    pub fn set_engines(&self, of: usize, state: Streams) {
-        self.gateways[of].engines.iter().for_each(|relay| relay.set(state));
+    /// Sets the state of a gateway's connections to all engines.
+    pub fn set_streams_of_gateway(&self, of: usize, state: StreamState) {
+        self.gateways[of].engine_relays.iter().for_each(|relay| relay.set(state));
     }
 
-    /// How one gateway reaches one engine.
-    pub fn set_engine_of(&self, of: usize, engine: usize, state: Streams) {
-        self.gateways[of].engines[engine].set(state);
+    /// Sets the state of a gateway's connections to one engine.
+    pub fn set_stream(&self, of: usize, engine: usize, state: StreamState) {
+        self.gateways[of].engine_relays[engine].set(state);
     }
 
-    fn write_files(&self, at: usize, life: usize) -> io::Result<(PathBuf, PathBuf, PathBuf)> {
-        let (plan, process) = (&self.plan, &self.gateways[at]);
+    fn write_files(&self, at: usize, run: usize) -> io::Result<(PathBuf, PathBuf, PathBuf)> {
+        let (spec, process) = (&self.spec, &self.gateways[at]);
         let members: Vec<Value> = process
-            .engines
+            .engine_relays
             .iter()
             .enumerate()
             .map(|(number, relay)| {
@@ -244,22 +263,23 @@
                     "flavor": "std", "cell": 0, "phase": "up", "size": 1, "up_since_ms": 0})
             })
             .collect();
-        let peers: Vec<String> = self.gateways.iter().map(|of| of.peer.to_string()).collect();
-        let peers: Vec<String> = peers.into_iter().chain([self.stranger.to_string()]).collect();
+        let peers: Vec<String> = self.gateways.iter().map(|of| of.peer_address.to_string()).collect();
+        let peers: Vec<String> = peers.into_iter().chain([self.test_peer.to_string()]).collect();
         let mut config = json!({
-            "name": format!("g-{at}"), "listen": process.clients.to_string(), "seed": format!("{:x}", plan.seed),
+            "name": format!("g-{at}"), "listen": process.client_address.to_string(), "seed": format!("{:x}", spec.seed),
             "limits": {"memory_mb": 192, "sockets": 1024},
             "known": {"no": 1, "items": [{"no": 1, "roster": {"revision": 1, "complete": true, "members": members}}]},
             "settings": {
                 "balancers": 1, "rank": 0, "zone": "here", "tickUs": 5000, "kinds": ["std"],
                 "tenants": [{"name": "acme"}], "domain": {"sizeCores": [64]},
-                "profiles": [{"name": "lookup", "promiseUs": 400_000, "deadlineUs": plan.waits.as_micros() as u64,
+                "profiles": [{"name": "lookup", "promiseUs": 400_000, "deadlineUs": spec.client_timeout.as_micros() as u64,
                     "effect": "read_like", "gain": 1}],
                 "allowed": {"tryLimit": 2, "mayCancel": true, "secondCopies": true, "retryAfter": true,
                     "maxRetryAfterUs": 2_000_000, "dialTimeoutUs": 250_000, "keepaliveUs": 15_000_000},
                 "rules": {"startCapacity": 0.3, "coldUs": 1000, "fallMultiple": 2, "tipAfterUs": 2_000_000}}});
-        if plan.peers {
-            (config["peer_listen"], config["peers"]) = (json!(process.peer.to_string()), json!(peers));
+        if spec.peers {
+            (config["peer_listen"], config["peers"]) =
+                (json!(process.peer_address.to_string()), json!(peers));
             let settings = &mut config["settings"];
             (settings["balancers"], settings["rank"]) = (json!(peers.len()), json!(at));
             (settings["allowed"]["peers"], settings["domain"]["sizeCores"]) = (json!(true), json!([2]));
@@ -268,12 +288,13 @@
         let (config_path, settings, facts) = (
             dir.join(format!("config-{at}.json")),
             dir.join(format!("settings-{at}.hcl")),
-            dir.join(format!("facts-{at}-{life}.jsonl")),
+            dir.join(format!("facts-{at}-{run}.jsonl")),
         );
         fs::write(&config_path, config.to_string())?;
-        let seats: Vec<String> =
-            (0..plan.seats).map(|seat| format!("{:?}", self.way(at, seat).to_string())).collect();
-        let own = if at < plan.seats { format!("seat = {at}") } else { String::new() };
+        let voters: Vec<String> = (0..spec.voters)
+            .map(|voter| format!("{:?}", self.voter_address(at, voter).to_string()))
+            .collect();
+        let own = if at < spec.voters { format!("seat = {at}") } else { String::new() };
         let text = format!(
             r#"fleet {{
   name = "rig"
@@ -295,22 +316,24 @@
 }}
 "#,
             key = dir.join("key"),
-            listen = process.fleet,
-            places = plan.gateways,
-            seats = seats.join(", "),
-            lease = plan.lease.as_millis(),
-            keep = plan.engines_keep.as_millis(),
+            listen = process.fleet_address,
+            places = spec.gateways,
+            seats = voters.join(", "),
+            lease = spec.lease.as_millis(),
+            keep = spec.orphan_retention.as_millis(),
             status = dir.join(format!("status-{at}.json")),
-            whole = plan.whole,
-            floor = plan.floor_percent,
+            whole = spec.whole,
+            floor = spec.floor_percent,
         );
-        let text = match plan.records {
-            true => {
-                text.replacen("  status", &format!("  outstanding_file = {:?}\n  status", self.record(at)), 1)
-            }
+        let text = match spec.keeps_record {
+            true => text.replacen(
+                "  status",
+                &format!("  outstanding_file = {:?}\n  status", self.record_path(at)),
+                1,
+            ),
             false => text,
         };
-        let policy = plan.policy.map(|text| {
+        let policy = spec.policy.map(|text| {
             let first = dir.join("policy.hcl");
             let kept = dir.join(format!("policy-{at}"));
             fs::write(&first, text).map(|()| format!("policy = {first:?}\n  policy_file = {kept:?}\n  lease"))
@@ -323,32 +346,33 @@
         Ok((config_path, settings, facts))
     }
 
-    /// Where a gateway keeps what it has out.
-    pub fn record(&self, at: usize) -> PathBuf {
+    /// The file in which a gateway records its executions in flight.
+    pub fn record_path(&self, at: usize) -> PathBuf {
         self.dir.path().join(format!("outstanding-{at}"))
     }
 
-    /// The machine has lost it.
-    pub fn lose_record(&self, at: usize) {
-        let _ = fs::remove_file(self.record(at));
+    /// Deletes the record of a gateway.
+    pub fn delete_record(&self, at: usize) {
+        let _ = fs::remove_file(self.record_path(at));
     }
 
-    /// The fleet's settings for an operator's tool, which asks the seats without anything between.
-    fn tool(&self) -> io::Result<PathBuf> {
+    /// Writes the settings for the operators' tool, which reaches the voters without relays.
+    fn write_tool_settings(&self) -> io::Result<PathBuf> {
         let dir = self.dir.path();
-        let seats: Vec<String> =
-            (0..self.plan.seats).map(|at| format!("{:?}", self.gateways[at].fleet.to_string())).collect();
+        let voters: Vec<String> = (0..self.spec.voters)
+            .map(|at| format!("{:?}", self.gateways[at].fleet_address.to_string()))
+            .collect();
         let (key, path) = (dir.join("key"), dir.join("tool.hcl"));
-        let seats = seats.join(", ");
+        let seats = voters.join(", ");
         let text = format!(
             "fleet {{\n name = \"rig\"\n key_file = {key:?}\n listen = \"127.0.0.1:1\"\n places = {}\n seats = [{seats}]\n}}\n",
-            self.plan.gateways
+            self.spec.gateways
         );
         fs::write(&path, text)?;
         Ok(path)
     }
 
-    /// Proposes a text to the fleet; what comes back ends by itself.
+    /// Starts the tool that proposes a policy text to the fleet.
     pub fn propose(&self, text: &str, wait: Duration) -> io::Result<Child> {
         let file = self.dir.path().join(format!("proposal-{}", self.ids.fetch_add(1, Ordering::SeqCst)));
         fs::write(&file, text)?;
@@ -356,26 +380,26 @@
         command
             .args(["policy", "propose", "--reason", "a test", "--wait"])
             .arg(format!("{}ms", wait.as_millis()));
-        command.arg("--settings").arg(self.tool()?).arg(file);
+        command.arg("--settings").arg(self.write_tool_settings()?).arg(file);
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()
     }
 
-    /// How a gateway decides by the fleet's policy, by its last fact, and by what.
-    pub fn decides(&self, at: usize) -> Option<(String, Vec<String>)> {
-        let life = self.gateways[at].lives.last().filter(|life| life.ended.is_none())?;
-        let facts = read(&life.facts);
+    /// By its last fact, in which phase of the policy a gateway is, and by which revisions it decides.
+    pub fn policy_state(&self, at: usize) -> Option<(String, Vec<String>)> {
+        let run = self.gateways[at].runs.last().filter(|run| run.ended_at.is_none())?;
+        let facts = read_facts(&run.facts);
         let last = facts.iter().rev().find(|fact| fact["decides"].is_string())?;
-        Some((last["decides"].as_str()?.to_string(), texts(&last["by"])))
+        Some((last["decides"].as_str()?.to_string(), strings(&last["by"])))
     }
 
-    /// P1: at no moment did one gateway decide by one revision alone while another did by another alone.
-    pub fn one_policy(&self) -> Result<(), String> {
-        // From when until when, by which, at whom.
+    /// Checks P1: at no moment did two gateways decide by different revisions alone.
+    pub fn check_policy(&self) -> Result<(), String> {
+        // Start, end, revision, gateway.
         let mut spans: Vec<(u64, u64, String, usize)> = Vec::new();
         for (at, gateway) in self.gateways.iter().enumerate() {
-            for life in &gateway.lives {
-                let ended = life.ended.map_or(u64::MAX, |ended| ended.as_micros() as u64);
-                let facts = read(&life.facts);
+            for run in &gateway.runs {
+                let ended = run.ended_at.map_or(u64::MAX, |ended| ended.as_micros() as u64);
+                let facts = read_facts(&run.facts);
                 let facts: Vec<&Value> = facts.iter().filter(|fact| fact["decides"].is_string()).collect();
                 for (number, fact) in facts.iter().enumerate().filter(|(_, fact)| fact["decides"] == "by it")
                 {
@@ -383,7 +407,7 @@
                     let next =
                         facts.get(number + 1).and_then(|next| next["at_us"].as_u64()).unwrap_or(u64::MAX);
                     let (Some(from), Some(until)) = (figure("at_us"), figure("until_us")) else { continue };
-                    let by = texts(&fact["by"]).concat();
+                    let by = strings(&fact["by"]).concat();
                     spans.push((from, until.min(next).min(ended), by, at));
                 }
             }
@@ -398,50 +422,53 @@
         Ok(())
     }
 
-    /// Of all gateways, how one engine is to be reached.
-    pub fn set_engine(&self, engine: usize, state: Streams) {
-        self.gateways.iter().for_each(|gateway| gateway.engines[engine].set(state));
+    /// Sets the state of the connections of all gateways to one engine.
+    pub fn set_streams_to_engine(&self, engine: usize, state: StreamState) {
+        self.gateways.iter().for_each(|gateway| gateway.engine_relays[engine].set(state));
     }
 
-    /// Connections that gateways have made to an engine so far.
-    pub fn tried(&self, engine: usize) -> u64 {
-        self.gateways.iter().map(|gateway| gateway.engines[engine].came.load(Ordering::Relaxed)).sum()
+    /// Number of connections that gateways have made to an engine so far.
+    pub fn connections_to(&self, engine: usize) -> u64 {
+        self.gateways
+            .iter()
+            .map(|gateway| gateway.engine_relays[engine].connections.load(Ordering::Relaxed))
+            .sum()
     }
 
-    /// Where gateways hear one another of engines.
-    pub fn peers(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.gateways.iter().map(|gateway| gateway.peer)
+    /// The addresses at which gateways listen for gossip.
+    pub fn peer_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        self.gateways.iter().map(|gateway| gateway.peer_address)
     }
 
-    /// Executions that have begun at engines so far.
-    pub fn begun(&self) -> usize {
+    /// Number of executions that engines have started so far.
+    pub fn started_executions(&self) -> usize {
         self.engines.iter().map(|engine| engine.ran().len()).sum()
     }
 
-    /// Starts a gateway, if it is not there, and waits until it serves.
+    /// Starts a gateway unless it runs, and returns once it accepts connections.
     pub fn start(&mut self, at: usize) -> io::Result<()> {
         if self.gateways[at].child.is_some() {
             return Ok(());
         }
-        let life = self.gateways[at].lives.len();
-        let (config, settings, facts) = self.write_files(at, life)?;
+        let run = self.gateways[at].runs.len();
+        let (config, settings, facts) = self.write_files(at, run)?;
         let log =
             File::options().create(true).append(true).open(self.dir.path().join(format!("log-{at}")))?;
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(config).arg("--settings").arg(settings);
-        if let Some(fast) = self.plan.clocks.get(&at) {
+        if let Some(fast) = self.spec.clock_drift.get(&at) {
             command.arg(format!("--clock-fast={fast}"));
         }
-        if let Some(wrong) = self.plan.wrong {
-            command.arg("--wrong").arg(wrong);
+        if let Some(bug) = self.spec.injected_bug {
+            command.arg("--wrong").arg(bug);
         }
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn()?;
         self.gateways[at].child = Some(child);
-        self.gateways[at].lives.push(Life { facts, ended: None });
+        self.gateways[at].runs.push(ProcessRun { facts, ended_at: None });
         let began = Instant::now();
-        while TcpStream::connect(self.gateways[at].clients).is_err() {
+        while TcpStream::connect(self.gateways[at].client_address).is_err() {
             let child = self.gateways[at].child.as_mut().expect("just started");
-            if child.try_wait()?.is_some() || began.elapsed() > LONG {
+            if child.try_wait()?.is_some() || began.elapsed() > MAX_WAIT {
                 return Err(io::Error::other(format!("gateway {at} did not start: {}", self.log(at))));
             }
             std::thread::sleep(5 * MS);
@@ -449,15 +476,17 @@
         Ok(())
     }
 
+    /// Starts every gateway that does not run.
     pub fn start_all(&mut self) -> io::Result<()> {
-        (0..self.plan.gateways).try_for_each(|at| self.start(at))
+        (0..self.spec.gateways).try_for_each(|at| self.start(at))
     }
 
-    /// What a gateway has logged.
+    /// The log of all processes of a gateway.
     pub fn log(&self, at: usize) -> String {
         fs::read_to_string(self.dir.path().join(format!("log-{at}"))).unwrap_or_default()
     }
 
+    /// Sends a signal to a gateway's process, if it runs.
     pub fn signal(&self, at: usize, signal: rustix::process::Signal) {
         if let Some(child) = &self.gateways[at].child {
             if let Some(pid) = rustix::process::Pid::from_raw(child.id() as i32) {
@@ -466,21 +495,23 @@
         }
     }
 
+    /// Pauses a gateway by SIGSTOP.
     pub fn pause(&self, at: usize) {
         self.signal(at, rustix::process::Signal::STOP);
     }
 
-    pub fn go_on(&self, at: usize) {
+    /// Resumes a gateway by SIGCONT.
+    pub fn resume(&self, at: usize) {
         self.signal(at, rustix::process::Signal::CONT);
     }
 
-    /// SIGKILL, and gone when this returns.
+    /// Ends a gateway by SIGKILL and waits for its end.
     pub fn kill(&mut self, at: usize) {
         self.end(at, rustix::process::Signal::KILL);
     }
 
-    /// SIGTERM, and gone when this returns.
-    pub fn leave(&mut self, at: usize) {
+    /// Ends a gateway by SIGTERM and waits for its end.
+    pub fn terminate(&mut self, at: usize) {
         self.end(at, rustix::process::Signal::TERM);
     }
 
@@ -489,59 +520,59 @@
         if let Some(mut child) = self.gateways[at].child.take() {
             let _ = child.wait();
         }
-        if let Some(life) = self.gateways[at].lives.last_mut() {
-            life.ended = Some(machine_time());
+        if let Some(run) = self.gateways[at].runs.last_mut() {
+            run.ended_at = Some(machine_time());
         }
     }
 
-    /// So many clients of one gateway, each with a statement every `every`, whatever becomes of it.
-    pub fn clients(&self, at: usize, many: usize, every: Duration) -> Clients {
-        let (over, tally) = (Arc::new(AtomicBool::new(false)), Arc::new(Tally::default()));
-        for number in 0..many {
-            let (over, tally, ids) = (over.clone(), tally.clone(), self.ids.clone());
-            let (address, waits) = (self.gateways[at].clients, self.plan.waits);
-            // Not all at once.
-            let mut next = Instant::now() + every * number as u32 / many as u32;
+    /// Starts `count` clients of a gateway, each with a statement every `interval`, whatever its outcome.
+    pub fn clients(&self, at: usize, count: usize, interval: Duration) -> Clients {
+        let (shutdown, counts) = (Arc::new(AtomicBool::new(false)), Arc::new(CallCounts::default()));
+        for number in 0..count {
+            let (shutdown, counts, ids) = (shutdown.clone(), counts.clone(), self.ids.clone());
+            let (address, timeout) = (self.gateways[at].client_address, self.spec.client_timeout);
+            // The first statements are spread over one interval.
+            let mut next = Instant::now() + interval * number as u32 / count as u32;
             std::thread::spawn(move || {
-                let mut line = None;
-                while !over.load(Ordering::SeqCst) {
+                let mut connection = None;
+                while !shutdown.load(Ordering::SeqCst) {
                     std::thread::sleep(next.saturating_duration_since(Instant::now()));
-                    next = (next + every).max(Instant::now());
-                    let began = Instant::now();
-                    let came = call(&mut line, address, ids.fetch_add(1, Ordering::SeqCst), waits);
-                    let count = match came {
-                        CallOutcome::Completed => &tally.completed,
-                        CallOutcome::Rejected => &tally.rejected,
-                        CallOutcome::Aborted => &tally.aborted,
-                        CallOutcome::NoAnswer => &tally.nothing,
+                    next = (next + interval).max(Instant::now());
+                    let started = Instant::now();
+                    let outcome = call(&mut connection, address, ids.fetch_add(1, Ordering::SeqCst), timeout);
+                    let count = match outcome {
+                        CallOutcome::Completed => &counts.completed,
+                        CallOutcome::Rejected => &counts.rejected,
+                        CallOutcome::Aborted => &counts.aborted,
+                        CallOutcome::NoAnswer => &counts.unanswered,
                     };
-                    if came != CallOutcome::NoAnswer && began.elapsed() > waits + 250 * MS {
-                        tally.late.fetch_add(1, Ordering::SeqCst);
+                    if outcome != CallOutcome::NoAnswer && started.elapsed() > timeout + 250 * MS {
+                        counts.late.fetch_add(1, Ordering::SeqCst);
                     }
                     count.fetch_add(1, Ordering::SeqCst);
-                    if came == CallOutcome::NoAnswer {
-                        line = None;
+                    if outcome == CallOutcome::NoAnswer {
+                        connection = None;
                         std::thread::sleep(10 * MS);
                     }
                 }
             });
         }
-        Clients { over, tally }
+        Clients { shutdown, counts }
     }
 
-    /// What a gateway shows of itself, once it shows anything.
+    /// The status file of a gateway; `null` until it has written one.
     pub fn status(&self, at: usize) -> Value {
         let path = self.dir.path().join(format!("status-{at}.json"));
         fs::read(path).ok().and_then(|text| serde_json::from_slice(&text).ok()).unwrap_or(Value::Null)
     }
 
-    /// Waits until something holds of all facts so far.
-    pub fn wait(&self, what: &str, holds: impl Fn(&World) -> bool) {
-        assert!(self.becomes(LONG, holds), "never: {what}: {}", self.shown());
+    /// Waits until the condition holds, and panics if it never does.
+    pub fn wait_until(&self, what: &str, holds: impl Fn(&World) -> bool) {
+        assert!(self.holds_within(MAX_WAIT, holds), "never: {what}: {}", self.describe());
     }
 
-    /// Whether it holds of all facts so far, at some moment before that time is over.
-    pub fn becomes(&self, within: Duration, holds: impl Fn(&World) -> bool) -> bool {
+    /// Whether the condition holds at some moment within this time.
+    pub fn holds_within(&self, within: Duration, holds: impl Fn(&World) -> bool) -> bool {
         let began = Instant::now();
         while !holds(self) {
             if began.elapsed() >= within {
@@ -552,92 +583,94 @@
         true
     }
 
-    /// Each gateway as it shows itself.
-    pub fn shown(&self) -> String {
-        let shown = (0..self.plan.gateways).map(|at| {
+    /// A description of every gateway for failure messages.
+    pub fn describe(&self) -> String {
+        let gateways = (0..self.spec.gateways).map(|at| {
             let status = self.status(at);
-            let there = self.gateways[at].child.is_some();
+            let running = self.gateways[at].child.is_some();
             let log = self.log(at);
-            // What its statements came to, as it counts that itself every ten seconds.
+            // The counts of its statements, which it logs every ten seconds.
             let figures = log.lines().rev().find(|line| line.contains("figures")).unwrap_or("no figures yet");
             format!(
-                "\n{at}: there {there}, has {}, seat {}, asks {}\n   {figures}",
-                self.has(at),
+                "\n{at}: running {running}, granted {}, seat {}, asks {}\n   {figures}",
+                self.granted(at),
                 status["seat"],
                 status["asks_seat"]
             )
         });
-        shown.collect()
+        gateways.collect()
     }
 
-    /// The gateway that keeps the leave, by the last facts of those that are there.
-    pub fn keeper(&self) -> Option<usize> {
-        (0..self.plan.seats).filter(|at| self.gateways[*at].child.is_some()).find(|at| {
-            let facts = self.gateways[*at].lives.last().map(|life| read(&life.facts)).unwrap_or_default();
+    /// The leader, by the last facts of the voters that run.
+    pub fn leader(&self) -> Option<usize> {
+        (0..self.spec.voters).filter(|at| self.gateways[*at].child.is_some()).find(|at| {
+            let facts = self.gateways[*at].runs.last().map(|run| read_facts(&run.facts)).unwrap_or_default();
             facts.iter().rev().find_map(|fact| fact["keeps"].as_bool()) == Some(true)
         })
     }
 
-    /// What a gateway has now: floor and leave, by its last fact.
-    pub fn has(&self, at: usize) -> u64 {
-        let Some(life) = self.gateways[at].lives.last().filter(|life| life.ended.is_none()) else { return 0 };
-        let facts = read(&life.facts);
+    /// What a gateway may use now, in statements: floor and grant, by its last fact.
+    pub fn granted(&self, at: usize) -> u64 {
+        let Some(run) = self.gateways[at].runs.last().filter(|run| run.ended_at.is_none()) else { return 0 };
+        let facts = read_facts(&run.facts);
         let Some(last) = facts.iter().rev().find(|fact| fact["budget"].is_string()) else { return 0 };
-        let leave = if last["until_us"].as_u64() > Some(machine_time().as_micros() as u64) {
+        let grant = if last["until_us"].as_u64() > Some(machine_time().as_micros() as u64) {
             &last["leave"]
         } else {
             &Value::Null
         };
-        (last["floor"].as_u64().unwrap_or(0) + leave.as_u64().unwrap_or(0)) / 1000
+        (last["floor"].as_u64().unwrap_or(0) + grant.as_u64().unwrap_or(0)) / 1000
     }
 
-    /// The most that all processes together had leave for at any moment, in statements, and each one's part then.
-    pub fn most_leave(&self) -> (u64, Vec<(usize, usize, u64)>) {
-        // Time, gateway, life, what it has from then on.
+    /// The most that all processes together were granted at any moment, in statements, and the share of each
+    /// process then.
+    pub fn max_granted(&self) -> (u64, Vec<(usize, usize, u64)>) {
+        // Time, gateway, process run, what it is granted from then on.
         let mut changes: Vec<(u64, usize, usize, u64)> = Vec::new();
         for (at, gateway) in self.gateways.iter().enumerate() {
-            for (life, of) in gateway.lives.iter().enumerate() {
+            for (run, of) in gateway.runs.iter().enumerate() {
                 let mut ends = None;
-                for fact in read(&of.facts).iter().filter(|fact| fact["budget"].is_string()) {
+                for fact in read_facts(&of.facts).iter().filter(|fact| fact["budget"].is_string()) {
                     let figure = |key: &str| fact[key].as_u64().unwrap_or(0);
                     let (when, until) = (figure("at_us"), figure("until_us"));
-                    // Leave that has ended before this was noted is no change of now.
+                    // A grant that had expired before this fact ended at its expiry.
                     changes.extend(
-                        ends.take().filter(|(end, _)| *end < when).map(|(end, floor)| (end, at, life, floor)),
+                        ends.take().filter(|(end, _)| *end < when).map(|(end, floor)| (end, at, run, floor)),
                     );
-                    changes.push((when, at, life, figure("floor") + figure("leave")));
+                    changes.push((when, at, run, figure("floor") + figure("leave")));
                     ends = (figure("leave") > 0).then_some((until, figure("floor")));
                 }
-                changes.extend(ends.map(|(end, floor)| (end, at, life, floor)));
-                let ended = of.ended.map(|ended| (ended.as_micros() as u64, at, life, 0));
+                changes.extend(ends.map(|(end, floor)| (end, at, run, floor)));
+                let ended = of.ended_at.map(|ended| (ended.as_micros() as u64, at, run, 0));
                 changes.retain(|(when, other, of, _)| {
-                    (*other, *of) != (at, life) || ended.is_none_or(|(end, ..)| *when <= end)
+                    (*other, *of) != (at, run) || ended.is_none_or(|(end, ..)| *when <= end)
                 });
                 changes.extend(ended);
             }
         }
-        // What shrinks at a moment has shrunk before another grows.
-        changes.sort_by_key(|(when, at, life, has)| (*when, *has, *at, *life));
+        // At equal times, decreases apply before increases.
+        changes.sort_by_key(|(when, at, run, has)| (*when, *has, *at, *run));
         let mut now: BTreeMap<(usize, usize), u64> = BTreeMap::new();
         let (mut most, mut then) = (0, Vec::new());
-        for (_, at, life, has) in changes {
-            now.insert((at, life), has);
+        for (_, at, run, has) in changes {
+            now.insert((at, run), has);
             let sum = now.values().sum();
             if sum > most {
                 most = sum;
-                then = now.iter().map(|((at, life), has)| (*at, *life, has / 1000)).collect();
+                then = now.iter().map(|((at, run), has)| (*at, *run, has / 1000)).collect();
             }
         }
         (most / 1000, then)
     }
 
-    /// B1 and B2: at no moment had all together leave for more than the whole, nor was more in use at the engines.
-    pub fn verdict(&self) -> Result<(), String> {
-        let whole = self.plan.whole;
-        self.one_policy()?;
-        let (most, then) = self.most_leave();
+    /// Checks B1 and B2: at no moment were the grants of all processes, or the statements running at engines,
+    /// more than the whole.
+    pub fn check_invariants(&self) -> Result<(), String> {
+        let whole = self.spec.whole;
+        self.check_policy()?;
+        let (most, then) = self.max_granted();
         if most > whole {
-            return Err(format!("leave for {most} of {whole}: (gateway, life, part) {then:?}"));
+            return Err(format!("granted {most} of {whole}: (gateway, process run, share) {then:?}"));
         }
         match most_at_once(self.engines.iter()) {
             (most, at) if most as u64 > whole => Err(format!("{most} of {whole} in use at {at:?}")),
@@ -645,12 +678,13 @@
         }
     }
 
-    pub fn check(&self) {
-        self.verdict().unwrap_or_else(|broken| panic!("{broken}"));
+    /// Panics if an invariant is broken.
+    pub fn assert_invariants(&self) {
+        self.check_invariants().unwrap_or_else(|broken| panic!("{broken}"));
     }
 
-    /// The share of the whole that is in use at the engines over the next while.
-    pub fn used_during(&self, span: Duration) -> f64 {
+    /// Observes the engines for a while and returns the mean share of the whole in use.
+    pub fn utilization(&self, span: Duration) -> f64 {
         let from = Instant::now();
         std::thread::sleep(span);
         let to = Instant::now();
@@ -660,50 +694,50 @@
         });
         let busy: Duration =
             ran.map(|(began, ended)| ended.min(to).saturating_duration_since(began.max(from))).sum();
-        busy.as_secs_f64() / span.as_secs_f64() / self.plan.whole as f64
+        busy.as_secs_f64() / span.as_secs_f64() / self.spec.whole as f64
     }
 }
 
 impl Drop for World {
     fn drop(&mut self) {
-        for at in 0..self.plan.gateways {
-            self.go_on(at);
+        for at in 0..self.spec.gateways {
+            self.resume(at);
             self.kill(at);
         }
     }
 }
 
-fn texts(list: &Value) -> Vec<String> {
+fn strings(list: &Value) -> Vec<String> {
     list.as_array().into_iter().flatten().filter_map(Value::as_str).map(str::to_string).collect()
 }
 
-/// The facts so far; a line that is being written is none yet.
-fn read(path: &Path) -> Vec<Value> {
+/// The facts so far, without a line that is still being written.
+fn read_facts(path: &Path) -> Vec<Value> {
     let Ok(text) = fs::read_to_string(path) else { return Vec::new() };
     text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
 }
 
-/// One statement to its last answer.
+/// Sends one statement and polls until its final answer.
 pub(crate) fn call(
-    line: &mut Option<BufReader<TcpStream>>,
+    connection: &mut Option<BufReader<TcpStream>>,
     address: SocketAddr,
     id: u64,
-    waits: Duration,
+    timeout: Duration,
 ) -> CallOutcome {
     let head = format!(
         "POST /svc/lookup HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {id:016x}\r\nX-Org: acme\r\nX-Deadline-Ms: {}\r\n\
          Content-Length: 8\r\n\r\nSELECT 1",
-        waits.as_millis()
+        timeout.as_millis()
     );
-    let mut ask = head;
-    // A path to come back to is called until there is an answer.
+    let mut request = head;
+    // A poll path is called until there is a final answer.
     for _ in 0..20 {
-        let Some((status, body)) = exchange(line, address, &ask, waits * 3) else {
+        let Some((status, body)) = exchange(connection, address, &request, timeout * 3) else {
             return CallOutcome::NoAnswer;
         };
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         if let Some(link) = body["link"].as_str() {
-            ask = format!("GET {link} HTTP/1.1\r\nHost: rig\r\n\r\n");
+            request = format!("GET {link} HTTP/1.1\r\nHost: rig\r\n\r\n");
             continue;
         }
         let rejected = matches!(status, 429 | 503) || body["abort"] == "Busy";
@@ -716,23 +750,24 @@
     CallOutcome::Aborted
 }
 
+/// Sends a request and reads its answer.
 fn exchange(
-    line: &mut Option<BufReader<TcpStream>>,
+    connection: &mut Option<BufReader<TcpStream>>,
     address: SocketAddr,
-    ask: &str,
-    within: Duration,
+    request: &str,
+    timeout: Duration,
 ) -> Option<(u16, Vec<u8>)> {
     for fresh in [false, true] {
-        if fresh || line.is_none() {
+        if fresh || connection.is_none() {
             let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
-            let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(within)));
-            *line = Some(BufReader::new(stream));
+            let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(timeout)));
+            *connection = Some(BufReader::new(stream));
         }
-        let reader = line.as_mut()?;
-        if reader.get_mut().write_all(ask.as_bytes()).is_err() {
+        let reader = connection.as_mut()?;
+        if reader.get_mut().write_all(request.as_bytes()).is_err() {
             continue;
         }
-        // One that was closed while idle is tried again on a new connection.
+        // An idle connection may have been closed: the request is repeated on a new one.
         if matches!(reader.fill_buf(), Ok(bytes) if !bytes.is_empty()) {
             let (first, _, body) = bramblewharf_standins::read_message(reader)?;
             return Some((first.split(' ').nth(1)?.parse().ok()?, body));
--- a/crates/rig/tests/kills.rs
+++ b/crates/rig/tests/kills.rs
@@ -1,13 +1,14 @@
 //! Gateways that are killed while engines have not read what they sent: what is out counts until engines can't begin it any more, and
 //! the process after has its floor again soon.
 
-use bramblewharf_rig::relay::{Streams, Way};
-use bramblewharf_rig::world::{Clients, Plan, World};
+use bramblewharf_rig::relay::{PathState, StreamState};
+use bramblewharf_rig::world::{Clients, FleetSpec, World};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
-const CUT: Way = Way { cut: true, lost: 0, doubled: 0, late: Duration::ZERO };
+const CUT: PathState =
+    PathState { cut: true, loss_percent: 0, duplicate_percent: 0, max_delay: Duration::ZERO };
 /// A gateway sends for so long what engines do not read yet: it has given none of it up when it is killed.
 const UNREAD: Duration = Duration::from_millis(200);
 /// What was sent is read no later than a lease, a quarter of it and the longest statement after it was sent.
@@ -25,11 +26,11 @@
 }
 
 impl Crowd {
-    fn start(plan: Plan, idle: usize) -> Crowd {
-        let mut world = World::new(plan, Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"))).unwrap();
+    fn start(spec: FleetSpec, idle: usize) -> Crowd {
+        let mut world = World::new(spec, Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"))).unwrap();
         world.start_all().unwrap();
-        world.wait("a keeper", |world| world.keeper().is_some());
-        let busy = (0..world.plan.gateways).filter(|at| *at != idle);
+        world.wait_until("a keeper", |world| world.leader().is_some());
+        let busy = (0..world.spec.gateways).filter(|at| *at != idle);
         let clients = busy.map(|at| world.clients(at, 16, 100 * MS)).collect();
         let crowd = Crowd { world, idle, clients };
         crowd.wait_full();
@@ -38,42 +39,42 @@
 
     /// The last gateway, which has no seat, is the one that is idle.
     fn of_half_a_second_each() -> Crowd {
-        let plan = Plan { lasts: 500 * MS, ..Plan::default() };
-        let last = plan.gateways - 1;
-        Crowd::start(plan, last)
+        let spec = FleetSpec { statement_time: 500 * MS, ..FleetSpec::default() };
+        let last = spec.gateways - 1;
+        Crowd::start(spec, last)
     }
 
     fn wait_full(&self) {
         let world = &self.world;
-        let whole = world.plan.whole;
-        world.wait("the whole given", |world| {
-            (0..world.plan.gateways).map(|at| world.has(at)).sum::<u64>() >= whole - whole / 12
+        let whole = world.spec.whole;
+        world.wait_until("the whole given", |world| {
+            (0..world.spec.gateways).map(|at| world.granted(at)).sum::<u64>() >= whole - whole / 12
         });
     }
 
     /// The idle gateway sends as much as it may to these engines, which do not read it.
     fn send_unread(&mut self, engines: &[usize]) {
-        for engine in 0..self.world.plan.engines {
-            let state = if engines.contains(&engine) { Streams::Silent } else { Streams::Well };
-            self.world.set_engine_of(self.idle, engine, state);
+        for engine in 0..self.world.spec.engines {
+            let state = if engines.contains(&engine) { StreamState::Stalled } else { StreamState::Open };
+            self.world.set_stream(self.idle, engine, state);
         }
         self.clients.push(self.world.clients(self.idle, 16, 100 * MS));
         std::thread::sleep(UNREAD);
     }
 
     /// Killed, and back at once; what is open to its engines by then goes on as the state says.
-    fn kill_and_start(&mut self, state: Streams) {
+    fn kill_and_start(&mut self, state: StreamState) {
         self.world.kill(self.idle);
-        self.world.set_engines(self.idle, state);
+        self.world.set_streams_of_gateway(self.idle, state);
         self.world.start(self.idle).unwrap();
     }
 
     /// Engines read what was sent, and the sum of what ran is checked.
     fn read_at(&self, at: Instant) {
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
-        self.world.set_engines(self.idle, Streams::Well);
+        self.world.set_streams_of_gateway(self.idle, StreamState::Open);
         std::thread::sleep(RUN);
-        self.world.check();
+        self.world.assert_invariants();
         self.wait_full();
     }
 }
@@ -84,7 +85,7 @@
     let mut crowd = Crowd::of_half_a_second_each();
     let sent = Instant::now();
     crowd.send_unread(&[0, 1]);
-    crowd.kill_and_start(Streams::Held);
+    crowd.kill_and_start(StreamState::ExistingStalled);
     crowd.read_at(sent + READ_LATE);
 }
 
@@ -94,7 +95,7 @@
     let mut crowd = Crowd::of_half_a_second_each();
     let sent = Instant::now();
     crowd.send_unread(&[0]);
-    crowd.kill_and_start(Streams::Held);
+    crowd.kill_and_start(StreamState::ExistingStalled);
     crowd.read_at(sent + READ_LATE);
 }
 
@@ -105,9 +106,9 @@
         let mut crowd = Crowd::of_half_a_second_each();
         let sent = Instant::now();
         crowd.send_unread(&[0, 1]);
-        crowd.kill_and_start(Streams::Held);
+        crowd.kill_and_start(StreamState::ExistingStalled);
         std::thread::sleep(pause);
-        crowd.kill_and_start(Streams::Held);
+        crowd.kill_and_start(StreamState::ExistingStalled);
         crowd.read_at(sent + READ_LATE);
     }
 }
@@ -120,7 +121,7 @@
         let sent = Instant::now();
         crowd.send_unread(&[0, 1]);
         crowd.world.kill(crowd.idle);
-        let record = crowd.world.record(crowd.idle);
+        let record = crowd.world.record_path(crowd.idle);
         match torn {
             true => {
                 let bytes = std::fs::read(&record).unwrap();
@@ -138,11 +139,11 @@
 fn a_kill_during_a_cut_that_heals_late_breaks_nothing() {
     let mut crowd = Crowd::of_half_a_second_each();
     let sent = Instant::now();
-    crowd.world.set_around(crowd.idle, CUT, CUT);
+    crowd.world.set_paths_of(crowd.idle, CUT, CUT);
     crowd.send_unread(&[0, 1]);
-    crowd.kill_and_start(Streams::Held);
+    crowd.kill_and_start(StreamState::ExistingStalled);
     std::thread::sleep(READ_LATE / 2);
-    crowd.world.set_around(crowd.idle, Way::default(), Way::default());
+    crowd.world.set_paths_of(crowd.idle, PathState::default(), PathState::default());
     crowd.read_at(sent + READ_LATE);
 }
 
@@ -152,24 +153,24 @@
     let mut crowd = Crowd::of_half_a_second_each();
     crowd.send_unread(&[0]);
     crowd.world.kill(crowd.idle);
-    crowd.world.set_engine_of(crowd.idle, 0, Streams::Gone);
+    crowd.world.set_stream(crowd.idle, 0, StreamState::Refused);
     crowd.world.start(crowd.idle).unwrap();
     let clients = &crowd.clients[crowd.clients.len() - 1];
-    let before = clients.tally.completed();
-    crowd.world.wait("served by the other engine", |_| clients.tally.completed() > before + 20);
+    let before = clients.counts.completed();
+    crowd.world.wait_until("served by the other engine", |_| clients.counts.completed() > before + 20);
     crowd.wait_full();
-    crowd.world.check();
+    crowd.world.assert_invariants();
 }
 
 /// Guards against the same fault where the killed gateway keeps the fleet's leave.
 #[test]
 fn what_a_killed_keeper_sent_is_counted() {
-    let plan = Plan { lasts: 500 * MS, ..Plan::default() };
-    let mut crowd = Crowd::start(plan, 0);
-    crowd.idle = crowd.world.keeper().unwrap();
+    let spec = FleetSpec { statement_time: 500 * MS, ..FleetSpec::default() };
+    let mut crowd = Crowd::start(spec, 0);
+    crowd.idle = crowd.world.leader().unwrap();
     let sent = Instant::now();
     crowd.send_unread(&[0, 1]);
-    crowd.kill_and_start(Streams::Held);
+    crowd.kill_and_start(StreamState::ExistingStalled);
     crowd.read_at(sent + READ_LATE);
 }
 
@@ -177,33 +178,34 @@
 #[test]
 fn a_killed_gateway_serves_again_soon_also_beside_an_engine_that_hangs() {
     for hung in [&[][..], &[0]] {
-        let plan = Plan { engines: 8, ..Plan::default() };
-        let last = plan.gateways - 1;
-        let mut crowd = Crowd::start(plan, last);
+        let spec = FleetSpec { engines: 8, ..FleetSpec::default() };
+        let last = spec.gateways - 1;
+        let mut crowd = Crowd::start(spec, last);
         crowd.send_unread(hung);
         crowd.world.kill(crowd.idle);
         crowd.world.start(crowd.idle).unwrap();
         let clients = &crowd.clients[crowd.clients.len() - 1];
-        let (began, before) = (Instant::now(), clients.tally.completed());
-        crowd.world.wait("served again", |_| clients.tally.completed() > before);
+        let (began, before) = (Instant::now(), clients.counts.completed());
+        crowd.world.wait_until("served again", |_| clients.counts.completed() > before);
         let took = began.elapsed();
         println!("engines that hang {hung:?}: a statement completed {took:?} after the start");
         assert!(took < SERVES_WITHIN, "{hung:?}: {took:?}");
-        crowd.world.check();
+        crowd.world.assert_invariants();
     }
 }
 
 /// The checkers are checked: a process that takes for over what no engine has shown to be is found out.
 #[test]
 fn a_part_that_is_settled_unheard_is_found() {
-    let plan = Plan { lasts: 500 * MS, wrong: Some("settled-unheard"), ..Plan::default() };
-    let last = plan.gateways - 1;
-    let mut crowd = Crowd::start(plan, last);
+    let spec =
+        FleetSpec { statement_time: 500 * MS, injected_bug: Some("settled-unheard"), ..FleetSpec::default() };
+    let last = spec.gateways - 1;
+    let mut crowd = Crowd::start(spec, last);
     let sent = Instant::now();
     crowd.send_unread(&[0, 1]);
-    crowd.kill_and_start(Streams::Held);
+    crowd.kill_and_start(StreamState::ExistingStalled);
     std::thread::sleep((sent + READ_LATE).saturating_duration_since(Instant::now()));
-    crowd.world.set_engines(last, Streams::Well);
+    crowd.world.set_streams_of_gateway(last, StreamState::Open);
     std::thread::sleep(RUN);
-    assert!(crowd.world.verdict().is_err(), "more was in use than the whole, and nothing was seen");
+    assert!(crowd.world.check_invariants().is_err(), "more was in use than the whole, and nothing was seen");
 }
--- a/crates/rig/tests/signals.rs
+++ b/crates/rig/tests/signals.rs
@@ -1,8 +1,8 @@
 //! What gateways tell one another of engines, among several processes of the program: one that is silent is left to few trials
 //! and used again soon after, and one gateway that lies takes no engine from the others.
 
-use bramblewharf_rig::relay::Streams;
-use bramblewharf_rig::world::{Clients, Plan, World};
+use bramblewharf_rig::relay::StreamState;
+use bramblewharf_rig::world::{Clients, FleetSpec, World};
 use bramblewharf_turns::{EngineHash, GossipMessage, Observation};
 use std::net::UdpSocket;
 use std::path::Path;
@@ -11,39 +11,46 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn world(peers: bool) -> World {
-    let plan = Plan { gateways: 8, engines: 4, whole: 200, peers, lasts: 30 * MS, ..Plan::default() };
-    let mut world = World::new(plan, Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"))).unwrap();
+    let spec = FleetSpec {
+        gateways: 8,
+        engines: 4,
+        whole: 200,
+        peers,
+        statement_time: 30 * MS,
+        ..FleetSpec::default()
+    };
+    let mut world = World::new(spec, Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"))).unwrap();
     world.start_all().unwrap();
     world
 }
 
 fn crowd(world: &World) -> Vec<Clients> {
-    (0..world.plan.gateways).map(|at| world.clients(at, 2, 100 * MS)).collect()
+    (0..world.spec.gateways).map(|at| world.clients(at, 2, 100 * MS)).collect()
 }
 
 fn completed(clients: &[Clients]) -> u64 {
-    clients.iter().map(|clients| clients.tally.completed()).sum()
+    clients.iter().map(|clients| clients.counts.completed()).sum()
 }
 
 /// Statements that went to a silent engine within four seconds, and what became of all then.
 fn lost_to_a_silent_engine(peers: bool) -> u64 {
     let world = world(peers);
     let clients = crowd(&world);
-    world.wait("statements everywhere", |_| clients.iter().all(|c| c.tally.completed() > 5));
-    world.set_engine(0, Streams::Silent);
+    world.wait_until("statements everywhere", |_| clients.iter().all(|c| c.counts.completed() > 5));
+    world.set_streams_to_engine(0, StreamState::Stalled);
     std::thread::sleep(500 * MS);
-    let before = (world.tried(0), completed(&clients));
+    let before = (world.connections_to(0), completed(&clients));
     std::thread::sleep(4000 * MS);
-    let lost = world.tried(0) - before.0;
+    let lost = world.connections_to(0) - before.0;
     assert!(
         completed(&clients) - before.1 > 400,
         "the other engines carry on: {}",
         completed(&clients) - before.1
     );
     // Well again: all use it, within seconds.
-    world.set_engine(0, Streams::Well);
+    world.set_streams_to_engine(0, StreamState::Open);
     let ran = world.engines[0].ran().len();
-    world.wait("it is used again", |world| world.engines[0].ran().len() > ran + 40);
+    world.wait_until("it is used again", |world| world.engines[0].ran().len() > ran + 40);
     lost
 }
 
@@ -60,21 +67,21 @@
 #[test]
 fn a_gateway_that_lies_takes_no_engine_from_the_others() {
     let world = world(true);
-    let liar = UdpSocket::bind(world.stranger).unwrap();
+    let liar = UdpSocket::bind(world.test_peer).unwrap();
     let clients = crowd(&world);
-    world.wait("statements everywhere", |_| clients.iter().all(|c| c.tally.completed() > 5));
+    world.wait_until("statements everywhere", |_| clients.iter().all(|c| c.counts.completed() > 5));
     let ran: Vec<usize> = world.engines.iter().map(|engine| engine.ran().len()).collect();
     let before = completed(&clients);
     std::thread::sleep(2000 * MS);
     let usual = completed(&clients) - before;
     for _ in 0..200 {
-        for (engine, zone) in (0..world.plan.engines).flat_map(|engine| [(engine, 1), (engine, 2)]) {
+        for (engine, zone) in (0..world.spec.engines).flat_map(|engine| [(engine, 1), (engine, 2)]) {
             let words = vec![Observation::Unhealthy {
                 engine: EngineHash::of(&format!("e-{engine}")),
                 age: Duration::ZERO,
             }];
             let said = GossipMessage { zone, observations: words }.encode();
-            world.peers().for_each(|peer| drop(liar.send_to(&said, peer)));
+            world.peer_addresses().for_each(|peer| drop(liar.send_to(&said, peer)));
         }
         std::thread::sleep(10 * MS);
     }
--- a/crates/rig/tests/simulated.rs
+++ b/crates/rig/tests/simulated.rs
@@ -3,7 +3,7 @@
 use bramblewharf_budgets::scope::ENGINES_WHOLE_PPM;
 use bramblewharf_budgets::UNIT;
 use bramblewharf_fleet::InjectedBug;
-use bramblewharf_rig::plan::{draw, smaller, Fault, Plan};
+use bramblewharf_rig::plan::{generate, minimize, Fault, Plan};
 use bramblewharf_rig::simulated::{play, Fleet, Seen, World};
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
         // Short executions: else the time for those hides a leave that lasts too long.
         let longest = if seed % 2 == 0 { 60 * MS } else { 800 * MS };
         let fleet = Fleet { wrong, longest, seed: *seed, ..Fleet::default() };
-        play(fleet, draw(*seed, 5, 3, 20 * S, 10), 25 * S).broken.is_some()
+        play(fleet, generate(*seed, 5, 3, 20 * S, 10), 25 * S).broken.is_some()
     })
 }
 
@@ -196,9 +196,9 @@
 fn a_plan_that_breaks_is_made_smaller() {
     let fleet = Fleet { wrong: Some(InjectedBug::ReassignsSuspectGrants), ..Fleet::default() };
     let fails = |plan: &Plan| play(fleet.clone(), plan.clone(), 25 * S).broken.is_some();
-    let seed = (1..100).find(|seed| fails(&draw(*seed, 5, 3, 20 * S, 10))).unwrap();
-    let plan = draw(seed, 5, 3, 20 * S, 10);
-    let small = smaller(plan.clone(), fails);
+    let seed = (1..100).find(|seed| fails(&generate(*seed, 5, 3, 20 * S, 10))).unwrap();
+    let plan = generate(seed, 5, 3, 20 * S, 10);
+    let small = minimize(plan.clone(), fails);
     assert!(fails(&small) && small.len() < plan.len(), "{} of {}", small.len(), plan.len());
     assert!((0..small.len()).all(|at| {
         let mut less = small.clone();
@@ -209,7 +209,7 @@
 
 #[test]
 fn the_same_seed_is_the_same_run() {
-    let run = || play(Fleet::default(), draw(7, 5, 3, 10 * S, 8), 12 * S);
+    let run = || play(Fleet::default(), generate(7, 5, 3, 10 * S, 8), 12 * S);
     let (one, other) = (run(), run());
     assert_eq!(
         (one.sent, one.refused, one.bytes, one.in_use),
