--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,5 +1,5 @@
-//! Executions on engines: HTTP by awc. Each one's ending becomes an outcome, with no more proof than the network
-//! gives: only a connection refused or never established, or the protocol's own marks, prove that nothing ran.
+//! Runs executions on engines over HTTP (awc) and maps how each one ends to an outcome. Only a connection
+//! that was refused or never established, or the protocol's own marks, prove that nothing ran.
 
 use crate::closes::{CloseCounts, CloseReason};
 use crate::config::Bounds;
@@ -22,74 +22,81 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An engine answers within 250 ms, if only that there is no news; by then it has not, or the answer is lost.
-const UNANSWERED: Duration = Duration::from_millis(300);
-/// An engine that is merely slow would have every answer given up just before it comes, and be asked the more: each call after one that was not
-/// answered waits twice as long, so often.
-const PATIENCE_DOUBLES: u32 = 2;
-/// A statement that has no answer by then is asked for on a second connection too: most are over by then, and where the
-/// answer was lost the decisions would take an engine for slow that has done its work. A page is there at once.
-const SECOND_ASK: Duration = Duration::from_millis(100);
-const PAGE_WITHIN: Duration = Duration::from_millis(100);
-/// That is done for so long after any call had to be made again: on good paths a second connection is of no use.
-const WARY: Duration = Duration::from_secs(30);
-/// Pause before an engine is asked again that could not be reached or broke off twice, or that answers too fast.
-const PAUSE: Duration = Duration::from_millis(25);
-const TOO_FAST: Duration = Duration::from_millis(5);
-/// A connection rests for so long between two executions: what an engine sent behind an answer has come by then, and is
-/// not taken for the next one's.
-const REST: Duration = Duration::from_millis(250);
-/// An engine that answers new calls has read by then whatever had come to it before.
-const READS_WITHIN: Duration = Duration::from_millis(500);
-/// The longest pause between two calls by which an engine is told to end an execution.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// How often the end of an execution or a page is asked for again where what came was no such thing, or did not come.
-const TRIES: usize = 5;
-
-const NOTHING: Text = Text::Whole(Bytes::new());
-const ALWAYS: SendGuards<'static> = SendGuards { may_begin: &|| true, may_complete: &|| true };
-
+/// An engine answers within 250 ms, if only that the execution is still running; after this time the answer
+/// counts as lost.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How often the response timeout doubles, once per call without an answer: with a fixed timeout the answers
+/// of a slow engine would always be given up just before they arrive, and it would get even more calls.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
+/// A statement without an answer after this time is also polled on a second connection: most are complete by
+/// then, and after a lost answer the scheduler would take the engine for slow. A page is available at once,
+/// hence its shorter timeout.
+const SECOND_POLL_DELAY: Duration = Duration::from_millis(100);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Second connections are used for this long after any call had to be retried: on reliable paths they are of
+/// no use.
+const SECOND_POLL_PERIOD: Duration = Duration::from_secs(30);
+/// Pause before an engine is called again that could not be reached, failed twice in a row, or answered a
+/// poll within `MIN_POLL_DURATION`.
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
+const MIN_POLL_DURATION: Duration = Duration::from_millis(5);
+/// How long a connection stays idle between two executions: surplus bytes after an answer have arrived by
+/// then, and are not taken for the answer to the next call.
+const REUSE_DELAY: Duration = Duration::from_millis(250);
+/// An engine that still answers calls after this time has read whatever had reached it before.
+const READ_BOUND: Duration = Duration::from_millis(500);
+/// The longest pause between two attempts to cancel an execution.
+const MAX_CANCEL_PAUSE: Duration = Duration::from_millis(400);
+/// How often the result of an execution or a page is requested again after a malformed or missing answer.
+const MAX_TRIES: usize = 5;
+
+const EMPTY_BODY: Text = Text::Whole(Bytes::new());
+const UNGUARDED: SendGuards<'static> = SendGuards { may_begin: &|| true, may_complete: &|| true };
+
+/// The HTTP client for all engines, with its connection pool.
 pub struct EngineClient {
     connections: Rc<Connections>,
-    /// Connections that no execution uses, the longest at rest first; bounded with `lines` by `bounds.engines`, emptied of
-    /// what has rested for `idle`.
-    resting: RefCell<VecDeque<Resting>>,
-    idle: Duration,
-    /// Calls that broke off, stayed silent or brought what is no answer, since the start.
-    again: Cell<u64>,
-    last_again: Cell<Option<Instant>>,
+    /// Pooled connections without an execution, the longest idle first. Together with the connections in use
+    /// bounded by `bounds.engines`; closed after `idle_timeout`.
+    idle_connections: RefCell<VecDeque<IdleConnection>>,
+    idle_timeout: Duration,
+    /// Calls that failed, timed out or got a malformed answer, since the start.
+    retried: Cell<u64>,
+    last_retry: Cell<Option<Instant>>,
     names: Names,
     bounds: Bounds,
     dial_timeout: Duration,
-    /// A statement may have no two executions out, not even for as long as one may yet be on its way.
+    /// A statement must never have two executions in flight, not even while the request of one may still be
+    /// on its way.
     one_at_a_time: bool,
 }
 
-struct Resting {
+struct IdleConnection {
     address: SocketAddr,
     since: Instant,
     stream: TcpStream,
 }
 
-/// The connections of one execution, one at a time. Until it is over no other execution has them, and then only what showed
-/// nothing irregular, after a rest: no answer that comes late, twice or to another call is ever taken for a result.
-struct Way {
+/// The connections of one execution, one at a time. Other executions reuse a connection only after this one
+/// has ended, if nothing irregular was seen on it, and after `REUSE_DELAY`: so no late, duplicate or
+/// misdirected answer is taken for a result.
+struct EngineChannel {
     address: SocketAddr,
     client: Client,
-    /// A connection that is made, for the client to take.
-    made: Rc<Cell<Option<TrackedStream>>>,
+    /// An established connection for the client to take.
+    pending: Rc<Cell<Option<TrackedStream>>>,
     connection: Option<Rc<Connection>>,
 }
 
-impl Way {
-    fn to(address: SocketAddr) -> Way {
-        let made = Rc::new(Cell::new(None));
-        let slot = made.clone();
-        // Connections are made before the client is asked to send, and what became of that is known apart.
+impl EngineChannel {
+    fn new(address: SocketAddr) -> EngineChannel {
+        let pending = Rc::new(Cell::new(None));
+        let slot = pending.clone();
+        // Connections are established before the client sends, so that a failure to connect is known as such.
         let dial = fn_service(move |info: ConnectInfo<Uri>| {
-            let link: Option<TrackedStream> = slot.take();
-            std::future::ready(match link {
-                Some(link) => Ok(Dialled::new(info.request().clone(), link)),
+            let stream: Option<TrackedStream> = slot.take();
+            std::future::ready(match stream {
+                Some(stream) => Ok(Dialled::new(info.request().clone(), stream)),
                 None => Err(DialError::Io(io::ErrorKind::NotConnected.into())),
             })
         });
@@ -100,36 +107,38 @@
             .disable_redirects()
             .no_default_headers()
             .finish();
-        Way { address, client, made, connection: None }
+        EngineChannel { address, client, pending, connection: None }
     }
 
-    /// The connection in use is not used again.
-    fn leave(&mut self) {
+    /// Closes the connection in use; it is not reused.
+    fn discard_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
             connection.close(CloseReason::Irregular);
         }
     }
 }
 
-/// What came of one call.
-enum Call {
-    /// No connection was established, or it had ended before a byte of the call was written. With whether it was refused.
-    NotMade(bool),
-    /// Our own bound or the system's kept it from being made.
-    NoRoom,
-    /// The text was not sent whole, through no fault of the engine or the path to it.
-    Broken,
-    /// The connection broke or carried what is no answer: whatever was sent may have been read, and is not read any more if it was not.
-    Lost,
-    /// Nothing came: whatever was sent may have been read, or may wait unread at the engine or on its way, and be read at any time.
-    Silent,
+/// The result of one call.
+enum CallResult {
+    /// No connection was established, or it had ended before a byte of the call was written. True if the
+    /// connection was refused.
+    NotSent(bool),
+    /// A limit of this process or of the operating system prevented the call.
+    NoCapacity,
+    /// The body was not sent completely, through no fault of the engine or the path to it.
+    BodyFailed,
+    /// The connection failed or carried a malformed answer: the engine may have read the request; if it has
+    /// not, it never will.
+    ConnectionLost,
+    /// No answer in time: the engine may have read the request, or may still read it at any time.
+    TimedOut,
     Answered(Reply),
 }
 
-/// What is heard of an execution before its end.
+/// What is known of an execution before its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ExecutionUpdate {
-    /// The engine has it.
+    /// The engine has received it.
     Arrived,
     Note(Note),
 }
@@ -141,31 +150,31 @@
 }
 
 impl Reply {
-    fn text(&self, name: &str) -> Option<&str> {
+    fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok().map(str::trim)
     }
 
-    fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
-        self.text(name)?.parse().ok()
+    fn parsed_header<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
+        self.header(name)?.parse().ok()
     }
 
     fn never_ran(&self) -> bool {
-        self.text("X-Shed") == Some("1")
+        self.header("X-Shed") == Some("1")
     }
 }
 
-/// What one execution is sent with.
+/// The parameters of one execution.
 pub struct Dispatch<'a> {
     pub address: SocketAddr,
     pub parcel: &'a Parcel,
     pub mem_mb: f64,
-    /// Until when its end is waited for.
+    /// How long to wait for its end.
     pub deadline: Instant,
     pub guards: SendGuards<'a>,
 }
 
-/// Whether a call may still go out, right before its first byte does: nothing may have come since that takes it back. And whether
-/// one that takes long may still come whole.
+/// Send guards: whether a call may still be sent, checked right before its first byte as the decision may
+/// have been revoked since, and whether a long upload may still complete.
 #[derive(Clone, Copy)]
 pub struct SendGuards<'a> {
     pub may_begin: &'a dyn Fn() -> bool,
@@ -173,6 +182,7 @@
 }
 
 impl EngineClient {
+    /// Creates a client without connections.
     pub fn new(
         bounds: Bounds,
         names: Names,
@@ -181,14 +191,14 @@
         one_at_a_time: bool,
     ) -> EngineClient {
         // Closed well before engines close them: a call must not cross such a close.
-        let idle = engine_idle / 3;
-        let connections = Rc::new(Connections::for_engines(bounds.page, idle));
+        let idle_timeout = engine_idle / 3;
+        let connections = Rc::new(Connections::for_engines(bounds.page, idle_timeout));
         EngineClient {
             connections,
-            resting: RefCell::default(),
-            idle,
-            again: Cell::new(0),
-            last_again: Cell::new(None),
+            idle_connections: RefCell::default(),
+            idle_timeout,
+            retried: Cell::new(0),
+            last_retry: Cell::new(None),
             names,
             bounds,
             dial_timeout,
@@ -196,9 +206,9 @@
         }
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
-        self.connections.count() + self.resting.borrow().len()
+        self.connections.count() + self.idle_connections.borrow().len()
     }
 
     /// Why connections to engines were closed.
@@ -206,245 +216,277 @@
         &self.connections.close_counts
     }
 
+    /// The number of calls that had to be retried, since the start.
     pub fn retried_calls(&self) -> u64 {
-        self.again.get()
+        self.retried.get()
     }
 
-    fn count_again(&self) {
-        self.again.set(self.again.get() + 1);
-        self.last_again.set(Some(Instant::now()));
+    fn count_retry(&self) {
+        self.retried.set(self.retried.get() + 1);
+        self.last_retry.set(Some(Instant::now()));
     }
 
-    /// Closes what has been idle for too long; to be called now and then.
+    /// Closes connections after their idle timeout; to be called periodically.
     pub fn close_idle(&self) {
         self.connections.close_idle();
-        self.resting.borrow_mut().retain(|resting| resting.since.elapsed() < self.idle);
+        self.idle_connections
+            .borrow_mut()
+            .retain(|connection| connection.since.elapsed() < self.idle_timeout);
     }
 
+    /// Closes all connections.
     pub fn close_all(&self) {
         self.connections.close_all();
-        self.resting.borrow_mut().clear();
+        self.idle_connections.borrow_mut().clear();
     }
 
-    /// One that has rested long enough, if it is still good: nothing has come on it, not even its end.
-    fn rested(&self, address: SocketAddr) -> Option<TcpStream> {
-        let mut resting = self.resting.borrow_mut();
+    /// Takes a pooled connection that has been idle for long enough and is still quiet and open.
+    fn take_idle(&self, address: SocketAddr) -> Option<TcpStream> {
+        let mut idle = self.idle_connections.borrow_mut();
         loop {
-            // One that was not swept away in time, as this process stood still, may be closed there without a word.
-            let rested = REST..self.idle.max(REST * 2);
-            let enough =
-                |resting: &Resting| resting.address == address && rested.contains(&resting.since.elapsed());
-            let at = resting.iter().position(enough)?;
-            let stream = resting.remove(at)?.stream;
+            // A connection past its idle timeout, kept as this process was paused, may have been closed by
+            // the engine.
+            let reusable_ages = REUSE_DELAY..self.idle_timeout.max(REUSE_DELAY * 2);
+            let is_reusable = |connection: &IdleConnection| {
+                connection.address == address && reusable_ages.contains(&connection.since.elapsed())
+            };
+            let at = idle.iter().position(is_reusable)?;
+            let stream = idle.remove(at)?.stream;
             if is_quiet(&stream) {
                 return Some(stream);
             }
         }
     }
 
-    /// Runs one execution to its end; `heard` is told that it arrived, and the engine's notes.
-    pub async fn run(&self, dispatch: Dispatch<'_>, heard: impl Fn(ExecutionUpdate)) -> Ending {
-        let mut way = Way::to(dispatch.address);
-        let ending = self.run_by(&mut way, &dispatch, heard).await;
-        if let Some(stream) = way
+    /// Runs one execution to its end; `on_update` receives its arrival and the notes of the engine.
+    pub async fn run(&self, dispatch: Dispatch<'_>, on_update: impl Fn(ExecutionUpdate)) -> Ending {
+        let mut channel = EngineChannel::new(dispatch.address);
+        let ending = self.run_on(&mut channel, &dispatch, on_update).await;
+        if let Some(stream) = channel
             .connection
             .take()
             .filter(|connection| connection.is_reusable())
             .and_then(|connection| connection.take_stream())
         {
             let since = Instant::now();
-            self.resting.borrow_mut().push_back(Resting { address: dispatch.address, since, stream });
+            self.idle_connections.borrow_mut().push_back(IdleConnection {
+                address: dispatch.address,
+                since,
+                stream,
+            });
         }
         ending
     }
 
-    async fn run_by(
+    async fn run_on(
         &self,
-        way: &mut Way,
+        channel: &mut EngineChannel,
         dispatch: &Dispatch<'_>,
-        heard: impl Fn(ExecutionUpdate),
+        on_update: impl Fn(ExecutionUpdate),
     ) -> Ending {
         let id = String::from_utf8_lossy(&dispatch.parcel.id);
-        let mut other = Way::to(dispatch.address);
+        let mut second = EngineChannel::new(dispatch.address);
         let first = tokio::select! {
             biased;
-            call = self.post(way, dispatch) => Ok(call),
-            reply = self.ask_beside(&mut other, &id) => Err(reply),
+            call = self.post(channel, dispatch) => Ok(call),
+            reply = self.poll_on_second_connection(&mut second, &id) => Err(reply),
         };
         let mut call = first.unwrap_or_else(|reply| {
-            std::mem::swap(way, &mut other);
-            Call::Answered(reply)
+            std::mem::swap(channel, &mut second);
+            CallResult::Answered(reply)
         });
-        drop(other);
-        let (mut started, mut in_a_row, mut odd, mut lost, mut unknown) = (false, 0, 0, false, false);
+        drop(second);
+        let (mut started, mut failures_in_a_row, mut malformed, mut lost, mut unknown) =
+            (false, 0, 0, false, false);
         let (mut arrived, mut unread) = (false, false);
         loop {
             match call {
-                Call::NoRoom if !started => return Outcome::Skipped.into(),
-                // No word against the engine; what it had of the text it can't have run, but nothing proves that.
-                Call::Broken => {
-                    self.end_what_is_of_no_use(dispatch, &id).await;
+                CallResult::NoCapacity if !started => return Outcome::Skipped.into(),
+                // The engine is not at fault. It cannot have run an incomplete body, but nothing proves that.
+                CallResult::BodyFailed => {
+                    self.cancel_unusable(dispatch, &id).await;
                     return Outcome::Cancelled.into();
                 }
-                // The engine's process is gone, and the execution with it.
-                Call::NotMade(refused) if !started || refused => {
+                // The process of the engine is gone, and the execution with it.
+                CallResult::NotSent(refused) if !started || refused => {
                     return if started { Outcome::Reset } else { Outcome::Refused }.into();
                 }
-                Call::NotMade(_) | Call::NoRoom | Call::Lost | Call::Silent => {
-                    self.count_again();
+                CallResult::NotSent(_)
+                | CallResult::NoCapacity
+                | CallResult::ConnectionLost
+                | CallResult::TimedOut => {
+                    self.count_retry();
                     lost |= !started;
-                    unread |= !started && matches!(call, Call::Silent);
-                    // No connection comes up to a machine that is cut off: what it had not received is not delivered any more, as its
-                    // connection was reset, and what it had received it has read.
-                    unread &= !matches!(call, Call::NotMade(_));
-                    in_a_row += 1;
-                    if in_a_row > 1 {
-                        sleep(PAUSE).await;
+                    unread |= !started && matches!(call, CallResult::TimedOut);
+                    // No connection can be established to a machine that is cut off: what it had not received
+                    // is not delivered any more, as its connection was reset, and what it had received it has
+                    // read.
+                    unread &= !matches!(call, CallResult::NotSent(_));
+                    failures_in_a_row += 1;
+                    if failures_in_a_row > 1 {
+                        sleep(RETRY_PAUSE).await;
                     }
                 }
-                Call::Answered(reply) => {
-                    in_a_row = 0;
-                    match self.read(&reply) {
-                        News::None(note) => {
+                CallResult::Answered(reply) => {
+                    failures_in_a_row = 0;
+                    match self.classify(&reply) {
+                        ExecutionState::Running(note) => {
                             if !std::mem::replace(&mut arrived, true) {
-                                heard(ExecutionUpdate::Arrived);
+                                on_update(ExecutionUpdate::Arrived);
                             }
                             unread = false;
-                            note.into_iter().for_each(|note| heard(ExecutionUpdate::Note(note)));
+                            note.into_iter().for_each(|note| on_update(ExecutionUpdate::Note(note)));
+                        }
+                        // The request may wait unread at the engine for an unknown time, so that the next
+                        // attempt would run beside it.
+                        ExecutionState::Failed(Outcome::Error) if unread && self.one_at_a_time => {
+                            sleep(REUSE_DELAY).await
                         }
-                        // It waits where the engine has not read it, for nobody knows how long: the next would be out beside it.
-                        News::Failed(Outcome::Error) if unread && self.one_at_a_time => sleep(REST).await,
-                        // What was sent may yet be on its way, and would be out beside the next.
-                        News::Failed(Outcome::Error) if lost && self.one_at_a_time && !unknown => {
+                        // The request may still be on its way, so that the next attempt would run beside it.
+                        ExecutionState::Failed(Outcome::Error) if lost && self.one_at_a_time && !unknown => {
                             unknown = true;
-                            sleep(REST).await;
+                            sleep(REUSE_DELAY).await;
                         }
-                        // An engine that does not know it may never have had it whole; the path is at fault.
-                        News::Failed(Outcome::Error) if lost => {
+                        // An engine that does not know the execution may never have received it completely;
+                        // the path is at fault.
+                        ExecutionState::Failed(Outcome::Error) if lost => {
                             let report = self.report(&reply);
                             return Ending { report, unread, ..Outcome::Reset.into() };
                         }
-                        News::Failed(outcome) => {
+                        ExecutionState::Failed(outcome) => {
                             return Ending { report: self.report(&reply), ..outcome.into() };
                         }
-                        News::Completed(pages) => match self.fetch(way, &id, &reply, pages).await {
-                            Ok(ending) => return ending,
-                            Err(Unfetched::Gone) => {
-                                return Ending { report: self.report(&reply), ..Outcome::Error.into() };
+                        ExecutionState::Completed(pages) => {
+                            match self.fetch(channel, &id, &reply, pages).await {
+                                Ok(ending) => return ending,
+                                Err(FetchError::Gone) => {
+                                    return Ending { report: self.report(&reply), ..Outcome::Error.into() };
+                                }
+                                Err(FetchError::Malformed) => malformed += 1,
                             }
-                            Err(Unfetched::Odd) => odd += 1,
-                        },
-                        News::Odd => odd += 1,
+                        }
+                        ExecutionState::Malformed => malformed += 1,
                     }
-                    if odd > 0 {
-                        self.count_again();
-                        way.leave();
+                    if malformed > 0 {
+                        self.count_retry();
+                        channel.discard_connection();
                     }
-                    if odd >= TRIES {
-                        self.end_what_is_of_no_use(dispatch, &id).await;
+                    if malformed >= MAX_TRIES {
+                        self.cancel_unusable(dispatch, &id).await;
                         return Outcome::Error.into();
                     }
                 }
             }
             started = true;
             let asked = Instant::now();
-            call = self.get(way, &id, 0, patience(in_a_row)).await;
-            let at_once = matches!(&call, Call::Answered(r) if r.status == StatusCode::ACCEPTED);
-            if at_once && asked.elapsed() < TOO_FAST {
-                sleep(PAUSE).await;
+            call = self.get(channel, &id, 0, response_timeout(failures_in_a_row)).await;
+            let at_once = matches!(&call, CallResult::Answered(r) if r.status == StatusCode::ACCEPTED);
+            if at_once && asked.elapsed() < MIN_POLL_DURATION {
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// Gives an execution up, and returns what is known of it then. A call that broke off may never have come whole, and is made
-    /// again.
+    /// Cancels an execution, and returns what is known of it then. A failed call may not have arrived, and is
+    /// retried.
     pub async fn stop(&self, address: SocketAddr, id: &str, cancel: Cancel) -> AfterCancel {
         let uri = format!("http://{address}/x/{id}");
         let delete = |client: &Client| client.delete(&uri);
-        let (began, mut pause, mut arrived) = (Instant::now(), PAUSE, cancel.arrived);
+        let (began, mut pause, mut arrived) = (Instant::now(), RETRY_PAUSE, cancel.arrived);
         let (mut answered, mut unanswered): (Option<Instant>, u32) = (None, 0);
-        let (mut cut, mut came_up) = (false, false);
-        // An engine may read a cancel before the statement that it is for, which then begins.
-        let looks_first = cancel.awaited;
+        let (mut unreachable, mut connected) = (false, false);
+        // An engine may read a cancel before the statement that it is for, which would then start.
+        let check_arrival = cancel.awaited;
         while began.elapsed() < cancel.within {
-            let looks = looks_first && !arrived;
+            let checking = check_arrival && !arrived;
             let asked = Instant::now();
-            let call = match looks {
-                true => self.get(&mut Way::to(address), id, 0, patience(unanswered)).await,
+            let call = match checking {
+                true => self.get(&mut EngineChannel::new(address), id, 0, response_timeout(unanswered)).await,
                 false => {
-                    self.call(&mut Way::to(address), delete, &NOTHING, patience(unanswered), ALWAYS).await
+                    self.call(
+                        &mut EngineChannel::new(address),
+                        delete,
+                        &EMPTY_BODY,
+                        response_timeout(unanswered),
+                        UNGUARDED,
+                    )
+                    .await
                 }
             };
-            unanswered += u32::from(!matches!(call, Call::Answered(_)));
-            cut |= matches!(call, Call::NotMade(false));
-            came_up |= !matches!(call, Call::NotMade(_) | Call::NoRoom);
-            let reads = matches!(call, Call::Answered(_))
-                && answered.is_some_and(|first| asked >= first + READS_WITHIN);
+            unanswered += u32::from(!matches!(call, CallResult::Answered(_)));
+            unreachable |= matches!(call, CallResult::NotSent(false));
+            connected |= !matches!(call, CallResult::NotSent(_) | CallResult::NoCapacity);
+            let has_read = matches!(call, CallResult::Answered(_))
+                && answered.is_some_and(|first| asked >= first + READ_BOUND);
             match call {
-                Call::Answered(reply) if looks => {
-                    arrived = matches!(self.read(&reply), News::None(_) | News::Completed(_));
+                CallResult::Answered(reply) if checking => {
+                    arrived = matches!(
+                        self.classify(&reply),
+                        ExecutionState::Running(_) | ExecutionState::Completed(_)
+                    );
                     answered.get_or_insert(asked);
                     if arrived {
                         continue;
                     }
-                    if cut && reads {
+                    if unreachable && has_read {
                         return AfterCancel::CutOff;
                     }
                 }
-                Call::Answered(_) if arrived => return AfterCancel::Over,
-                // Nothing waits for it: told once is enough.
-                Call::Answered(_) => return AfterCancel::Unread,
-                Call::NotMade(true) => return AfterCancel::Gone,
-                // Where second copies are allowed nothing waits for it, and it must not crowd out what does.
+                CallResult::Answered(_) if arrived => return AfterCancel::Over,
+                // Nothing waits for the result: one cancel is enough.
+                CallResult::Answered(_) => return AfterCancel::Unread,
+                CallResult::NotSent(true) => return AfterCancel::Gone,
+                // Where concurrent executions are allowed nothing waits for the cancel, and it must not take
+                // connections from calls that are waited for.
                 _ if !self.one_at_a_time && self.connections() >= self.bounds.engines * 3 / 4 => break,
-                _ if looks_first && cut && !came_up && began.elapsed() >= CANCEL_WITHIN => {
+                _ if check_arrival && unreachable && !connected && began.elapsed() >= CANCEL_WITHIN => {
                     return AfterCancel::CutOff;
                 }
                 _ => {}
             }
-            sleep(if answered.is_some() { READS_WITHIN } else { pause }).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            sleep(if answered.is_some() { READ_BOUND } else { pause }).await;
+            pause = (pause * 2).min(MAX_CANCEL_PAUSE);
         }
         answered.map_or(AfterCancel::Unknown, |_| AfterCancel::Unread)
     }
 
-    /// Whether an engine has read all that was sent to it before, as it answers calls that far apart, or its process is gone. `name`: of
-    /// no statement.
+    /// Whether an engine has read all that was sent to it before, as it answers two calls that are
+    /// `READ_BOUND` apart, or its process is gone. `name` is the id of no statement.
     pub async fn confirm_reads(&self, address: SocketAddr, name: &str, within: Duration) -> bool {
         let (began, mut unanswered) = (Instant::now(), 0);
         let mut answered: Option<Instant> = None;
         while began.elapsed() < within {
             let asked = Instant::now();
-            match self.get(&mut Way::to(address), name, 0, patience(unanswered)).await {
-                Call::Answered(_) if answered.is_some_and(|first| asked >= first + READS_WITHIN) => {
+            match self.get(&mut EngineChannel::new(address), name, 0, response_timeout(unanswered)).await {
+                CallResult::Answered(_) if answered.is_some_and(|first| asked >= first + READ_BOUND) => {
                     return true
                 }
-                Call::Answered(_) => drop(answered.get_or_insert_with(Instant::now)),
-                Call::NotMade(true) => return true,
+                CallResult::Answered(_) => drop(answered.get_or_insert_with(Instant::now)),
+                CallResult::NotSent(true) => return true,
                 _ => unanswered += 1,
             }
-            sleep(if answered.is_some() { READS_WITHIN } else { PAUSE }).await;
+            sleep(if answered.is_some() { READ_BOUND } else { RETRY_PAUSE }).await;
         }
         false
     }
 
-    /// An execution whose text broke off, or whose answers are none.
-    async fn end_what_is_of_no_use(&self, dispatch: &Dispatch<'_>, id: &str) {
+    /// Cancels an execution whose body was cut off, or whose answers are malformed.
+    async fn cancel_unusable(&self, dispatch: &Dispatch<'_>, id: &str) {
         let cancel = Cancel { arrived: true, within: CANCEL_WITHIN, awaited: self.one_at_a_time };
         self.stop(dispatch.address, id, cancel).await;
     }
 
-    async fn post(&self, way: &mut Way, dispatch: &Dispatch<'_>) -> Call {
+    async fn post(&self, channel: &mut EngineChannel, dispatch: &Dispatch<'_>) -> CallResult {
         let Dispatch { parcel, mem_mb, deadline, .. } = dispatch;
-        let uri = format!("http://{}/x", way.address);
+        let uri = format!("http://{}/x", channel.address);
         let request = |client: &Client| {
-            // What is left right before it goes out: a connection may have been made in between.
-            let left = deadline.saturating_duration_since(Instant::now());
+            // The remaining time right before sending, as a connection may have been established in between.
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let mut request = client
                 .post(&uri)
                 .insert_header(("X-Ticket", &parcel.id[..]))
                 .insert_header(("X-Queue", &parcel.workload[..]))
-                .insert_header(("X-Max-Ms", left.as_micros().div_ceil(1000).max(1) as u64));
+                .insert_header(("X-Max-Ms", remaining.as_micros().div_ceil(1000).max(1) as u64));
             if let Some(key) = &parcel.key {
                 request = request.insert_header(("X-Nonce", &key[..]));
             }
@@ -453,124 +495,133 @@
             }
             request
         };
-        self.call(way, request, &parcel.text, UNANSWERED, dispatch.guards).await
+        self.call(channel, request, &parcel.text, RESPONSE_TIMEOUT, dispatch.guards).await
     }
 
-    /// The news of an execution, or a further page of its result.
-    async fn get(&self, way: &mut Way, id: &str, page: usize, within: Duration) -> Call {
-        let uri = format!("http://{}/x/{id}/{page}", way.address);
-        self.call(way, |client| client.get(&uri), &NOTHING, within, ALWAYS).await
+    /// Polls an execution, or fetches a further page of its result.
+    async fn get(&self, channel: &mut EngineChannel, id: &str, page: usize, within: Duration) -> CallResult {
+        let uri = format!("http://{}/x/{id}/{page}", channel.address);
+        self.call(channel, |client| client.get(&uri), &EMPTY_BODY, within, UNGUARDED).await
     }
 
-    /// Asks for the end of a statement whose own answer takes long, and returns with that alone: as long as the statement may
-    /// yet be on its way, whatever else an engine says of it means nothing. Leaves room for those that have not asked at all.
-    async fn ask_beside(&self, way: &mut Way, id: &str) -> Reply {
-        sleep(SECOND_ASK).await;
-        let wary = self.last_again.get().is_some_and(|at| at.elapsed() < WARY);
-        for _ in 0..TRIES {
-            if !wary || self.connections() >= self.bounds.engines * 3 / 4 {
+    /// Polls for a statement whose own answer is slow, and returns only once it has completed: while the
+    /// request may still be on its way, other answers mean nothing. Leaves connections for executions that
+    /// have none yet.
+    async fn poll_on_second_connection(&self, channel: &mut EngineChannel, id: &str) -> Reply {
+        sleep(SECOND_POLL_DELAY).await;
+        let recently_retried = self.last_retry.get().is_some_and(|at| at.elapsed() < SECOND_POLL_PERIOD);
+        for _ in 0..MAX_TRIES {
+            if !recently_retried || self.connections() >= self.bounds.engines * 3 / 4 {
                 break;
             }
-            match self.get(way, id, 0, UNANSWERED).await {
-                Call::Answered(reply) if matches!(self.read(&reply), News::Completed(_)) => return reply,
-                Call::Lost | Call::Silent => {}
+            match self.get(channel, id, 0, RESPONSE_TIMEOUT).await {
+                CallResult::Answered(reply)
+                    if matches!(self.classify(&reply), ExecutionState::Completed(_)) =>
+                {
+                    return reply
+                }
+                CallResult::ConnectionLost | CallResult::TimedOut => {}
                 _ => break,
             }
         }
         std::future::pending().await
     }
 
-    async fn connect(&self, way: &mut Way) -> Result<Rc<Connection>, Call> {
-        if let Some(connection) = way.connection.as_ref().filter(|connection| connection.is_reusable()) {
+    async fn connect(&self, channel: &mut EngineChannel) -> Result<Rc<Connection>, CallResult> {
+        if let Some(connection) = channel.connection.as_ref().filter(|connection| connection.is_reusable()) {
             return Ok(connection.clone());
         }
-        let stream = match self.rested(way.address) {
+        let stream = match self.take_idle(channel.address) {
             Some(stream) => stream,
-            None => self.dial(way.address).await?,
+            None => self.dial(channel.address).await?,
         };
-        let link = self.connections.track(stream);
-        let connection = link.0.clone();
-        way.made.set(Some(link));
-        way.connection = Some(connection.clone());
+        let stream = self.connections.track(stream);
+        let connection = stream.0.clone();
+        channel.pending.set(Some(stream));
+        channel.connection = Some(connection.clone());
         Ok(connection)
     }
 
-    async fn dial(&self, address: SocketAddr) -> Result<TcpStream, Call> {
-        // At the bound a connection that no execution uses makes room.
-        if self.connections() >= self.bounds.engines && self.resting.borrow_mut().pop_front().is_none() {
-            return Err(Call::NoRoom);
+    async fn dial(&self, address: SocketAddr) -> Result<TcpStream, CallResult> {
+        // At the bound, drop a pooled connection.
+        if self.connections() >= self.bounds.engines
+            && self.idle_connections.borrow_mut().pop_front().is_none()
+        {
+            return Err(CallResult::NoCapacity);
         }
         match timeout(self.dial_timeout, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) => Err(match error.kind() {
-                io::ErrorKind::ConnectionRefused => Call::NotMade(true),
+                io::ErrorKind::ConnectionRefused => CallResult::NotSent(true),
                 io::ErrorKind::ConnectionReset
                 | io::ErrorKind::TimedOut
                 | io::ErrorKind::HostUnreachable
-                | io::ErrorKind::NetworkUnreachable => Call::NotMade(false),
-                // Descriptors, ports, memory: ours, whatever the engine does.
-                _ => Call::NoRoom,
+                | io::ErrorKind::NetworkUnreachable => CallResult::NotSent(false),
+                // Descriptors, ports, memory: local limits, whatever the engine does.
+                _ => CallResult::NoCapacity,
             }),
-            Err(_) => Err(Call::NotMade(false)),
+            Err(_) => Err(CallResult::NotSent(false)),
         }
     }
 
-    /// One call, once. Only where not a byte of it was written does it go out on a second connection, by what holds then.
+    /// Makes one call. It is sent on a second connection only where not a byte of it was written, after the
+    /// send guards are checked again.
     async fn call(
         &self,
-        way: &mut Way,
+        channel: &mut EngineChannel,
         request: impl Fn(&Client) -> ClientRequest,
         text: &Text,
         within: Duration,
         guards: SendGuards<'_>,
-    ) -> Call {
+    ) -> CallResult {
         let mut was_late = false;
         for _ in 0..2 {
-            let connection = match self.connect(way).await {
+            let connection = match self.connect(channel).await {
                 Ok(connection) => connection,
                 Err(call) => return call,
             };
-            // Guards against what came between the decision and the socket: a pause of this process, a client that left
-            // while the connection was made, a drain.
+            // Recheck before the first byte: since the decision this process may have been paused, the client
+            // may have disconnected while the connection was established, or the engine may have begun to
+            // drain.
             if !(guards.may_begin)() {
-                return Call::NoRoom;
+                return CallResult::NoCapacity;
             }
             connection.prepare_send();
-            let request = request(&way.client).no_decompress();
+            let request = request(&channel.client).no_decompress();
             let reply = match text {
                 Text::Whole(text) => {
                     let sent = request.send_body(text.clone());
                     timeout(within, self.reply(sent)).await.ok()
                 }
                 Text::Body(body) => {
-                    let Some(outgoing) = body.start_sending() else { return Call::NoRoom };
+                    let Some(outgoing) = body.start_sending() else { return CallResult::NoCapacity };
                     let upload = Upload::new(&outgoing, connection.clone());
                     let sent = request.send_body(Sending::new(outgoing, upload.cut()));
                     upload.watch(within, guards.may_complete, self.reply(sent)).await
                 }
             };
             if let Some(Some(reply)) = reply {
-                return Call::Answered(reply);
+                return CallResult::Answered(reply);
             }
             let is_silent = reply.is_none();
             was_late = connection.was_late();
-            way.leave();
+            channel.discard_connection();
             if connection.has_sent() {
                 return match text {
-                    Text::Body(body) if body.is_aborted() || body.is_corrupted() => Call::Broken,
-                    _ if is_silent => Call::Silent,
-                    _ => Call::Lost,
+                    Text::Body(body) if body.is_aborted() || body.is_corrupted() => CallResult::BodyFailed,
+                    _ if is_silent => CallResult::TimedOut,
+                    _ => CallResult::ConnectionLost,
                 };
             }
             if let Text::Body(body) = text {
                 body.return_unsent();
             }
         }
-        // The engine has no part in a pause of this process.
+        // The engine is not at fault for a pause of this process.
         if was_late {
-            return Call::NoRoom;
+            return CallResult::NoCapacity;
         }
-        Call::NotMade(false)
+        CallResult::NotSent(false)
     }
 
     async fn reply(&self, sent: SendClientRequest) -> Option<Reply> {
@@ -579,35 +630,43 @@
         Some(Reply { status: response.status(), headers: response.headers().clone(), body })
     }
 
-    fn read(&self, reply: &Reply) -> News {
+    fn classify(&self, reply: &Reply) -> ExecutionState {
         match reply.status {
-            StatusCode::ACCEPTED => News::None(note(reply)),
-            StatusCode::OK => match reply.number("Page-Count") {
-                Some(pages) if (1..=self.bounds.pages).contains(&pages) => News::Completed(pages),
-                _ => News::Odd,
+            StatusCode::ACCEPTED => ExecutionState::Running(read_note(reply)),
+            StatusCode::OK => match reply.parsed_header("Page-Count") {
+                Some(pages) if (1..=self.bounds.pages).contains(&pages) => ExecutionState::Completed(pages),
+                _ => ExecutionState::Malformed,
             },
-            StatusCode::SERVICE_UNAVAILABLE if reply.never_ran() => News::Failed(Outcome::Full),
-            StatusCode::GATEWAY_TIMEOUT if reply.never_ran() => News::Failed(Outcome::Skipped),
-            _ => News::Failed(Outcome::Error),
+            StatusCode::SERVICE_UNAVAILABLE if reply.never_ran() => ExecutionState::Failed(Outcome::Full),
+            StatusCode::GATEWAY_TIMEOUT if reply.never_ran() => ExecutionState::Failed(Outcome::Skipped),
+            _ => ExecutionState::Failed(Outcome::Error),
         }
     }
 
-    /// Completed is what is here whole: a page that is missing or cannot be read may not pass for a result.
-    async fn fetch(&self, way: &mut Way, id: &str, first: &Reply, count: usize) -> Result<Ending, Unfetched> {
-        let work = first.number::<f64>("Work-Ms").filter(|ms| *ms >= 0.0 && ms.is_finite());
-        let mem = first.number::<f64>("Peak-Mb").filter(|mb| *mb >= 0.0 && mb.is_finite()).unwrap_or(0.0);
+    /// Collects all pages of a result. A result with a missing or unreadable page does not count as
+    /// completed.
+    async fn fetch(
+        &self,
+        channel: &mut EngineChannel,
+        id: &str,
+        first: &Reply,
+        count: usize,
+    ) -> Result<Ending, FetchError> {
+        let work = first.parsed_header::<f64>("Work-Ms").filter(|ms| *ms >= 0.0 && ms.is_finite());
+        let mem =
+            first.parsed_header::<f64>("Peak-Mb").filter(|mb| *mb >= 0.0 && mb.is_finite()).unwrap_or(0.0);
         let consumed = work.map(|ms| (Duration::from_secs_f64((ms / 1e3).min(1e6)), mem));
         let mut columns = None;
         let mut bytes = first.body.len();
-        if !is_whole(&first.body, &mut columns) {
-            return Err(Unfetched::Odd);
+        if !is_well_formed_page(&first.body, &mut columns) {
+            return Err(FetchError::Malformed);
         }
         let mut pages = vec![first.body.clone()];
         for number in 1..count {
-            let page = self.page(way, id, number, &mut columns).await?;
+            let page = self.page(channel, id, number, &mut columns).await?;
             bytes += page.len();
             if bytes > self.bounds.result {
-                return Err(Unfetched::Gone);
+                return Err(FetchError::Gone);
             }
             pages.push(page);
         }
@@ -616,56 +675,65 @@
 
     async fn page(
         &self,
-        way: &mut Way,
+        channel: &mut EngineChannel,
         id: &str,
         number: usize,
         columns: &mut Option<usize>,
-    ) -> Result<Bytes, Unfetched> {
-        for again in 0..TRIES {
-            if again > 0 {
-                self.count_again();
+    ) -> Result<Bytes, FetchError> {
+        for attempt in 0..MAX_TRIES {
+            if attempt > 0 {
+                self.count_retry();
             }
-            if again > 1 {
-                sleep(PAUSE).await;
+            if attempt > 1 {
+                sleep(RETRY_PAUSE).await;
             }
-            let within = if again == 0 { PAGE_WITHIN } else { UNANSWERED };
-            match self.get(way, id, number, within).await {
-                Call::NotMade(true) => return Err(Unfetched::Gone),
-                Call::NotMade(false) | Call::NoRoom | Call::Lost | Call::Silent | Call::Broken => {}
-                Call::Answered(reply) if reply.status != StatusCode::OK => return Err(Unfetched::Gone),
-                Call::Answered(reply) => {
-                    if reply.number("Page-No") == Some(number) && is_whole(&reply.body, columns) {
+            let within = if attempt == 0 { PAGE_TIMEOUT } else { RESPONSE_TIMEOUT };
+            match self.get(channel, id, number, within).await {
+                CallResult::NotSent(true) => return Err(FetchError::Gone),
+                CallResult::NotSent(false)
+                | CallResult::NoCapacity
+                | CallResult::ConnectionLost
+                | CallResult::TimedOut
+                | CallResult::BodyFailed => {}
+                CallResult::Answered(reply) if reply.status != StatusCode::OK => {
+                    return Err(FetchError::Gone)
+                }
+                CallResult::Answered(reply) => {
+                    if reply.parsed_header("Page-No") == Some(number)
+                        && is_well_formed_page(&reply.body, columns)
+                    {
                         return Ok(reply.body);
                     }
-                    // Of another call, or spoilt on its way: the next answer here could be as wrong.
-                    way.leave();
+                    // The answer to another call, or corrupted on its way: the next answer on this connection
+                    // could be as wrong.
+                    channel.discard_connection();
                 }
             }
         }
-        Err(Unfetched::Gone)
+        Err(FetchError::Gone)
     }
 
     fn report(&self, reply: &Reply) -> Option<LoadReport> {
-        reply.text("X-Meter").map(|text| read_report(text, &self.names))
+        reply.header("X-Meter").map(|text| read_report(text, &self.names))
     }
 }
 
-/// How long an answer is waited for after so many calls that had none.
-fn patience(unanswered: u32) -> Duration {
-    UNANSWERED * 2u32.pow(unanswered.min(PATIENCE_DOUBLES))
+/// The response timeout after this many calls without an answer.
+fn response_timeout(unanswered: u32) -> Duration {
+    RESPONSE_TIMEOUT * 2u32.pow(unanswered.min(MAX_TIMEOUT_DOUBLINGS))
 }
 
-/// A load report, as in `inflight:7;util:0.61`; what cannot be read is not told.
+/// Reads a load report such as `inflight:7;util:0.61`; unreadable fields are omitted.
 fn read_report(text: &str, names: &Names) -> LoadReport {
-    let told = |name: &str| {
+    let field_value = |name: &str| {
         let field = text.split(';').find_map(|f| f.trim().strip_prefix(name)?.strip_prefix(':'));
         field.and_then(|value| value.trim().parse::<f64>().ok()).filter(|value| value.is_finite())
     };
-    names.report(|name| told(name).or_else(|| told(on_sockets(name)?)))
+    names.report(|name| field_value(name).or_else(|| field_value(wire_name(name)?)))
 }
 
-/// The fields of a load report have names of their own on sockets.
-fn on_sockets(name: &str) -> Option<&'static str> {
+/// The field names of a load report on the wire, where they differ.
+fn wire_name(name: &str) -> Option<&'static str> {
     Some(match name {
         "cpu_share" => "util",
         "busy_reqs" => "inflight",
@@ -674,27 +742,28 @@
     })
 }
 
-/// Why there is no whole result of what completed.
-enum Unfetched {
-    /// It is not to be had any longer.
+/// Why the result of a completed execution is incomplete.
+enum FetchError {
+    /// It is no longer available.
     Gone,
-    /// What came is none; it may be asked for again.
-    Odd,
+    /// The answer was malformed; it may be requested again.
+    Malformed,
 }
 
-enum News {
-    /// Not yet over.
-    None(Option<Note>),
+/// The state of an execution according to one answer.
+enum ExecutionState {
+    /// Not complete yet.
+    Running(Option<Note>),
     Failed(Outcome),
-    /// No such answer as engines give: spoilt on its way, or of another call.
-    Odd,
-    /// Over, with so many pages.
+    /// A malformed answer: corrupted on its way, or for another call.
+    Malformed,
+    /// Completed, with the number of pages.
     Completed(usize),
 }
 
-fn note(reply: &Reply) -> Option<Note> {
-    let figure = || reply.number::<f64>("Figure").filter(|x| x.is_finite());
-    Some(match reply.text("X-Remark")? {
+fn read_note(reply: &Reply) -> Option<Note> {
+    let figure = || reply.parsed_header::<f64>("Figure").filter(|x| x.is_finite());
+    Some(match reply.header("X-Remark")? {
         "so_far" => Note::Progress(figure()?),
         "lacking" => Note::Spills(figure()?),
         "waiting" if figure()? as i64 == 2 => Note::WaitsForLoad,
@@ -703,8 +772,8 @@
     })
 }
 
-/// Whole rows of text, all with the same number of columns.
-fn is_whole(page: &[u8], columns: &mut Option<usize>) -> bool {
+/// Whether a page consists of complete rows, all with the same number of columns.
+fn is_well_formed_page(page: &[u8], columns: &mut Option<usize>) -> bool {
     let Ok(text) = std::str::from_utf8(page) else { return false };
     if !text.is_empty() && !text.ends_with('\n') {
         return false;
--- a/crates/gateway/src/engines/tests.rs
+++ b/crates/gateway/src/engines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_load_report_is_read_by_either_name_and_bad_figures_are_not_told() {
+fn load_reports_use_either_field_name_and_omit_invalid_figures() {
     let names =
         Names { workloads: Vec::new(), customers: Vec::new(), x0_is_memory: true, x1_is_disks: false };
     let read = |text: &str| {
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn notes_are_read_and_others_passed_over() {
+fn known_notes_are_read_and_others_ignored() {
     let read = |remark: &str, figure: &str| {
         let mut headers = awc::http::header::HeaderMap::new();
         for (name, value) in [("x-remark", remark), ("figure", figure)] {
             let name = awc::http::header::HeaderName::from_static(name);
             headers.insert(name, awc::http::header::HeaderValue::from_str(value).unwrap());
         }
-        note(&Reply { status: StatusCode::ACCEPTED, headers, body: Bytes::new() })
+        read_note(&Reply { status: StatusCode::ACCEPTED, headers, body: Bytes::new() })
     };
     assert_eq!(read("so_far", "0.25"), Some(Note::Progress(0.25)));
     assert_eq!(read("lacking", "30"), Some(Note::Spills(30.0)));
