--- a/crates/gateway/src/closes.rs
+++ b/crates/gateway/src/closes.rs
@@ -1,23 +1,23 @@
-//! Why connections were closed, counted by reason.
+//! Counters of closed connections by reason.
 
 use std::cell::Cell;
 
-/// Why this side closed a connection.
+/// The reason why this side closed a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The other end had closed, or whoever held the connection was done with it.
+    /// The peer had closed, or the owner was done with the connection.
     Done,
-    /// No call came on it for too long.
+    /// No call arrived before the idle timeout.
     Idle,
-    /// The head of a call did not come in time.
+    /// The head of a call did not arrive in time.
     SlowHead,
-    /// A call on it had been refused for what it was.
+    /// A call on it was refused as invalid.
     Refused,
-    /// It made room at the bound of connections.
+    /// It was closed to make room at the connection limit.
     AtBound,
-    /// An engine's answer on it was late, cut or irregular.
+    /// The answer of an engine was late, cut off or malformed.
     Irregular,
-    /// The gateway shuts down.
+    /// The gateway is shutting down.
     ShutDown,
 }
 
@@ -39,21 +39,23 @@
 }
 
 impl CloseCounts {
+    /// Counts a close.
     pub fn count(&self, reason: CloseReason) {
         let count = &self.by_reason[reason as usize];
         count.set(count.get() + 1);
     }
 
-    /// A client's connection was closed with a call open on it that has no answer: a fault of this gateway.
+    /// A client connection was closed with an unanswered call open on it: a fault of this gateway.
     pub fn count_unanswered(&self) {
         self.unanswered.set(self.unanswered.get() + 1);
     }
 
+    /// Closes with an unanswered call, since the start.
     pub fn unanswered(&self) -> u64 {
         self.unanswered.get()
     }
 
-    /// The reasons that occurred, each with its count.
+    /// The reasons that occurred, with their counts.
     pub fn counts(&self) -> Vec<(CloseReason, u64)> {
         let all = ALL.into_iter().map(|reason| (reason, self.by_reason[reason as usize].get()));
         all.filter(|(_, count)| *count > 0).collect()
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of engines: the events told at the start, and DNS over UDP from then on.
+//! Discovery of engines: the list in the configuration at the start, then DNS queries over UDP to the name
+//! service.
 
 mod answer;
 mod configured_list;
@@ -12,7 +13,7 @@
 use hickory_proto::rr::{Name, RecordType};
 use nanorand::{Rng, WyRand};
 use slog::Logger;
-use sockets::Sockets;
+use sockets::QuerySockets;
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,224 +22,229 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-const SERVICE: &str = "_rpc._tcp.mesh.local.";
-/// How often the name service is asked, when again after an answer that told nothing, and the longest answer it gives.
-const EVERY: Duration = Duration::from_millis(150);
-const AGAIN: Duration = Duration::from_millis(40);
-const LONGEST: usize = 8_000;
-/// Questions that an answer may yet come for: a late one is as good as any other of its number.
-const AWAITED: usize = 32;
-/// Answers in a row with an earlier number (some six seconds of them) after which the name service itself is taken to have
-/// gone back. Until then the list counts as unconfirmed.
-const GONE_BACK: u32 = 40;
-/// For how long nothing usable may come before that is told: quiet is no good news.
-const SILENT: Duration = Duration::from_millis(1200);
-/// A round that ends later than this after its time shows that the process stood still: an answer may wait unread.
-const STOOD_STILL: Duration = Duration::from_millis(30);
-
-/// What came of listening to the name service.
+const SERVICE_NAME: &str = "_rpc._tcp.mesh.local.";
+/// The interval between queries, the shortest retry interval after an unusable answer, and the longest
+/// answer.
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
+const MAX_ANSWER_BYTES: usize = 8_000;
+/// Queries that may still be answered: a late answer is as good as any other with its serial.
+const MAX_PENDING_QUERIES: usize = 32;
+/// Consecutive answers with an earlier serial (about six seconds of them) after which the name service is
+/// taken to have been reset. Until then the list counts as unconfirmed.
+const SERIAL_RESET_ANSWERS: u32 = 40;
+/// How long no usable answer may arrive before the silence is reported.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// A round that ends this long after its deadline shows that the process was paused: an answer may wait
+/// unread.
+const STALL_THRESHOLD: Duration = Duration::from_millis(30);
+
+/// The result of polling the name service.
 #[derive(Debug)]
 pub enum ListUpdate {
-    /// The list, once it is another one than before, or known again; and when it was asked for.
+    /// The list, if it has changed or is confirmed again after a silence, and when it was queried.
     List(EngineSnapshot, Instant),
-    /// The list still is what it was when this question was asked.
+    /// The list was unchanged when this query was sent.
     Unchanged(Instant),
-    /// A list of an earlier number in answer to the newest question: an old one, or the service counts anew.
+    /// An earlier serial in answer to the newest query: a stale list, or the name service was reset.
     Disputed(EngineSnapshot),
-    /// Nothing usable was there to be heard.
+    /// No usable answer to the last query.
     NoAnswer,
-    /// Nothing usable for a while: the list may be old.
+    /// No usable answer for a while: the list may be outdated.
     Silent,
 }
 
-/// Asks the name service for as long as it is polled.
+/// A client of the name service; queries it while `next_update` is polled.
 pub struct NameServiceClient {
-    /// None where there is no name service: the list then stays as it was told.
+    /// None where there is no name service: the configured list then stays in force.
     server: Option<SocketAddr>,
-    sockets: Sockets,
+    sockets: QuerySockets,
     rng: WyRand,
     name: Name,
-    no: u64,
-    earlier: u32,
-    next: Instant,
-    /// The ids of the last questions and when they were asked, the newest last.
-    awaited: VecDeque<(u16, Instant)>,
-    /// Questions without a usable answer since the last one, when that was, and whether silence was told.
+    serial: u64,
+    earlier_serials: u32,
+    next_query: Instant,
+    /// The ids of the last queries and when they were sent, the newest last.
+    pending_queries: VecDeque<(u16, Instant)>,
+    /// Queries since the last usable answer, the time of that answer, and whether the silence was reported.
     unanswered: u32,
     last_confirmed: Rc<Cell<Instant>>,
     silent: bool,
-    /// How long answers take of late.
-    answers_take: Duration,
-    /// Answers that were of no use, since the start.
+    /// Moving average of the response time.
+    answer_time: Duration,
+    /// Ignored answers since the start.
     pub ignored_answers: Rc<Cell<u64>>,
     log: Logger,
 }
 
 impl NameServiceClient {
+    /// Creates a client; `serial` is that of the list in force.
     pub fn start(
         server: Option<SocketAddr>,
-        no: u64,
+        serial: u64,
         seed: u64,
         log: Logger,
     ) -> std::io::Result<NameServiceClient> {
-        let name = Name::from_str(SERVICE).map_err(std::io::Error::other)?;
+        let name = Name::from_str(SERVICE_NAME).map_err(std::io::Error::other)?;
         let now = Instant::now();
         Ok(NameServiceClient {
             server,
-            sockets: Sockets::default(),
+            sockets: QuerySockets::default(),
             rng: WyRand::new_seed(seed),
             name,
-            no,
-            earlier: 0,
-            next: now,
-            awaited: VecDeque::new(),
+            serial,
+            earlier_serials: 0,
+            next_query: now,
+            pending_queries: VecDeque::new(),
             unanswered: 0,
             last_confirmed: Rc::new(Cell::new(now)),
             silent: false,
-            answers_take: Duration::ZERO,
+            answer_time: Duration::ZERO,
             ignored_answers: Rc::default(),
             log,
         })
     }
 
-    /// Asks there from now on, at once; the numbers go on.
+    /// Sends queries to this server from now on, immediately; the serial is kept.
     pub fn set_server(&mut self, server: Option<SocketAddr>) {
         self.server = server;
         self.sockets.close();
-        self.awaited.clear();
-        self.next = Instant::now();
+        self.pending_queries.clear();
+        self.next_query = Instant::now();
     }
 
-    /// When the list was last confirmed, for whoever shows its age.
+    /// When the list was last confirmed, for reporting its age.
     pub fn last_confirmed(&self) -> Rc<Cell<Instant>> {
         self.last_confirmed.clone()
     }
 
-    /// A list from elsewhere is in force unless a later one is.
-    pub fn advance_to(&mut self, no: u64) -> bool {
-        let later = no > self.no;
-        self.no = self.no.max(no);
+    /// Takes over the serial of a list from another source. Returns whether it is later than the current one.
+    pub fn advance_to(&mut self, serial: u64) -> bool {
+        let later = serial > self.serial;
+        self.serial = self.serial.max(serial);
         later
     }
 
-    /// The list that was handed over last was not taken in: the next answer counts as news whatever its number.
+    /// The last list was not accepted: the next answer counts as a change whatever its serial.
     pub fn forget_serial(&mut self) {
-        (self.no, self.earlier) = (0, 0);
+        (self.serial, self.earlier_serials) = (0, 0);
     }
 
-    /// May be dropped and called again at any time: no more than a question is lost.
+    /// Waits for the next update. Cancel safe: dropping it loses at most one query.
     pub async fn next_update(&mut self) -> ListUpdate {
         loop {
-            tokio::time::sleep_until(self.next).await;
+            tokio::time::sleep_until(self.next_query).await;
             let began = Instant::now();
-            self.next = began + self.patience();
-            let word = self.ask().await;
-            if let Some(ListUpdate::List(..) | ListUpdate::Unchanged(_)) = word {
-                return word.unwrap_or(ListUpdate::NoAnswer);
+            self.next_query = began + self.retry_interval();
+            let update = self.query().await;
+            if let Some(ListUpdate::List(..) | ListUpdate::Unchanged(_)) = update {
+                return update.unwrap_or(ListUpdate::NoAnswer);
             }
             self.unanswered = self.unanswered.saturating_add(1);
-            if !self.silent && self.last_confirmed.get().elapsed() > SILENT {
+            if !self.silent && self.last_confirmed.get().elapsed() > SILENCE_TIMEOUT {
                 self.silent = true;
-                slog::warn!(self.log, "name service silent: the list may be old"; "no" => self.no);
+                slog::warn!(self.log, "name service silent: the list may be old"; "no" => self.serial);
                 return ListUpdate::Silent;
             }
-            if let Some(disputed) = word {
+            if let Some(disputed) = update {
                 return disputed;
             }
-            if self.next.elapsed() < STOOD_STILL {
+            if self.next_query.elapsed() < STALL_THRESHOLD {
                 return ListUpdate::NoAnswer;
             }
         }
     }
 
-    /// How long an answer is waited for before the question is asked again, from another socket: briefly at first, as the answer
-    /// may have been lost; then as long as between any two questions.
-    fn patience(&self) -> Duration {
-        let first = AGAIN.max(self.answers_take * 2);
-        (first * (self.unanswered + 1)).min(EVERY)
+    /// How long to wait before a query is repeated from another socket: briefly at first, as the answer may
+    /// have been lost, then up to the ordinary interval.
+    fn retry_interval(&self) -> Duration {
+        let initial = RETRY_INTERVAL.max(self.answer_time * 2);
+        (initial * (self.unanswered + 1)).min(QUERY_INTERVAL)
     }
 
-    /// What a usable answer says, if one comes.
-    async fn ask(&mut self) -> Option<ListUpdate> {
+    /// Sends a query and waits for a usable answer.
+    async fn query(&mut self) -> Option<ListUpdate> {
         let Some(server) = self.server else { return std::future::pending().await };
-        let mut question = Message::query();
-        question.metadata.id = self.rng.generate();
-        question.add_query(Query::query(self.name.clone(), RecordType::SRV));
-        self.awaited.push_back((question.metadata.id, Instant::now()));
-        if self.awaited.len() > AWAITED {
-            self.awaited.pop_front();
+        let mut query = Message::query();
+        query.metadata.id = self.rng.generate();
+        query.add_query(Query::query(self.name.clone(), RecordType::SRV));
+        self.pending_queries.push_back((query.metadata.id, Instant::now()));
+        if self.pending_queries.len() > MAX_PENDING_QUERIES {
+            self.pending_queries.pop_front();
         }
-        let newest = question.metadata.id;
-        self.sockets.ask(server, &question.to_vec().ok()?, self.unanswered > 0).await;
-        let mut bytes = [0; LONGEST];
+        let newest = query.metadata.id;
+        self.sockets.send(server, &query.to_vec().ok()?, self.unanswered > 0).await;
+        let mut bytes = [0; MAX_ANSWER_BYTES];
         let mut best: Option<(EngineSnapshot, Instant)> = None;
         loop {
-            let heard = match best {
-                None => timeout_at(self.next, self.sockets.hear(&mut bytes)).await.ok(),
-                // Whatever else has come is read before anything is made of it.
-                Some(_) => self.sockets.hear(&mut bytes).now_or_never(),
+            let received = match best {
+                None => timeout_at(self.next_query, self.sockets.receive(&mut bytes)).await.ok(),
+                // Read all datagrams that have arrived before deciding.
+                Some(_) => self.sockets.receive(&mut bytes).now_or_never(),
             };
-            let Some(length) = heard else { break };
-            let usable = self.read(&bytes[..length], newest);
-            best = usable.into_iter().chain(best).max_by_key(|(known, asked)| (known.serial, *asked));
+            let Some(length) = received else { break };
+            let usable = self.parse(&bytes[..length], newest);
+            best = usable.into_iter().chain(best).max_by_key(|(snapshot, asked)| (snapshot.serial, *asked));
         }
-        let (known, asked) = best?;
-        Some(self.news(known, asked))
+        let (snapshot, asked) = best?;
+        Some(self.accept(snapshot, asked))
     }
 
-    /// The list of an answer that may be believed, and when its question was asked.
-    fn read(&mut self, bytes: &[u8], newest: u16) -> Option<(EngineSnapshot, Instant)> {
-        let word = Message::from_vec(bytes).ok().and_then(|answer| {
+    /// Parses an answer to one of the pending queries. Returns its list and when the query was sent.
+    fn parse(&mut self, bytes: &[u8], newest: u16) -> Option<(EngineSnapshot, Instant)> {
+        let matched = Message::from_vec(bytes).ok().and_then(|answer| {
             let ours = answer.queries.first().is_none_or(|q| q.name() == &self.name);
             let response = answer.metadata.message_type == MessageType::Response;
-            let asked = self.awaited.iter().find(|(id, _)| *id == answer.metadata.id).map(|(_, at)| *at);
+            let asked =
+                self.pending_queries.iter().find(|(id, _)| *id == answer.metadata.id).map(|(_, at)| *at);
             asked.filter(|_| ours && response).map(|asked| (answer, asked))
         });
-        let list = word.as_ref().and_then(|(answer, _)| read_answer(answer, &self.name));
-        if list.as_ref().is_none_or(|known| known.serial < self.no) {
-            self.pass_over(word.is_some(), list.as_ref());
+        let list = matched.as_ref().and_then(|(answer, _)| read_answer(answer, &self.name));
+        if list.as_ref().is_none_or(|snapshot| snapshot.serial < self.serial) {
+            self.ignore(matched.is_some(), list.as_ref());
         }
-        let (answer, asked) = word?;
+        let (answer, asked) = matched?;
         let is_newest = answer.metadata.id == newest;
         if list.is_none() && is_newest {
-            self.next = self.next.min(Instant::now() + AGAIN);
+            self.next_query = self.next_query.min(Instant::now() + RETRY_INTERVAL);
         }
-        list.filter(|known| known.serial >= self.no || is_newest).map(|known| (known, asked))
+        list.filter(|snapshot| snapshot.serial >= self.serial || is_newest).map(|snapshot| (snapshot, asked))
     }
 
-    fn last_asked(&self) -> Instant {
-        self.awaited.back().map_or_else(Instant::now, |(_, at)| *at)
+    fn last_queried(&self) -> Instant {
+        self.pending_queries.back().map_or_else(Instant::now, |(_, at)| *at)
     }
 
-    fn pass_over(&self, ours: bool, list: Option<&EngineSnapshot>) {
+    fn ignore(&self, ours: bool, list: Option<&EngineSnapshot>) {
         self.ignored_answers.set(self.ignored_answers.get() + 1);
         let why = match (ours, list) {
-            (false, _) => "no answer to a question of ours",
-            (true, None) => "a failure, or no whole list",
-            (true, Some(_)) => "an earlier number",
+            (false, _) => "no answer to a pending query",
+            (true, None) => "failure, or incomplete list",
+            (true, Some(_)) => "earlier serial",
         };
-        slog::debug!(self.log, "answer of the name service passed over"; "why" => why, "no" => self.no,
-            "its_no" => list.map(|known| known.serial));
+        slog::debug!(self.log, "ignored an answer of the name service"; "why" => why, "no" => self.serial,
+            "its_no" => list.map(|snapshot| snapshot.serial));
     }
 
-    /// A list of the same number is no news, one of an earlier number a late word or another server's.
-    fn news(&mut self, known: EngineSnapshot, asked: Instant) -> ListUpdate {
-        self.earlier = if known.serial < self.no { self.earlier + 1 } else { 0 };
-        if known.serial < self.no && self.earlier < GONE_BACK {
-            // It was heard: the next question waits its ordinary time.
-            self.next = self.next.max(self.last_asked() + EVERY);
-            return ListUpdate::Disputed(known);
+    /// Classifies a list by its serial: the same serial is unchanged, an earlier one is a late answer or
+    /// comes from another server.
+    fn accept(&mut self, snapshot: EngineSnapshot, asked: Instant) -> ListUpdate {
+        self.earlier_serials = if snapshot.serial < self.serial { self.earlier_serials + 1 } else { 0 };
+        if snapshot.serial < self.serial && self.earlier_serials < SERIAL_RESET_ANSWERS {
+            // An answer arrived: the next query follows after the ordinary interval.
+            self.next_query = self.next_query.max(self.last_queried() + QUERY_INTERVAL);
+            return ListUpdate::Disputed(snapshot);
         }
-        let news = known.serial != self.no || self.silent;
+        let changed = snapshot.serial != self.serial || self.silent;
         if self.silent {
             slog::info!(self.log, "name service answers again"; "unanswered" => self.unanswered);
         }
-        (self.no, self.earlier, self.unanswered, self.silent) = (known.serial, 0, 0, false);
-        self.answers_take = (self.answers_take * 3 + asked.elapsed()) / 4;
-        self.next = self.last_asked() + EVERY;
+        (self.serial, self.earlier_serials, self.unanswered, self.silent) = (snapshot.serial, 0, 0, false);
+        self.answer_time = (self.answer_time * 3 + asked.elapsed()) / 4;
+        self.next_query = self.last_queried() + QUERY_INTERVAL;
         self.last_confirmed.set(Instant::now());
-        if news {
-            ListUpdate::List(known, asked)
+        if changed {
+            ListUpdate::List(snapshot, asked)
         } else {
             ListUpdate::Unchanged(asked)
         }
--- a/crates/gateway/src/discovery/answer.rs
+++ b/crates/gateway/src/discovery/answer.rs
@@ -1,4 +1,4 @@
-//! The list of engines as an answer of the name service holds it.
+//! Parses the list of engines in an answer of the name service.
 
 use super::EngineSnapshot;
 use crate::reducer::Listed;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// None where the answer holds no whole list.
+/// Returns the list, or none where the answer is a failure or incomplete.
 pub fn read_answer(answer: &Message, service: &Name) -> Option<EngineSnapshot> {
     if answer.metadata.response_code != ResponseCode::NoError || answer.metadata.truncation {
         return None;
@@ -18,16 +18,16 @@
         RData::SOA(soa) => Some(soa.serial),
         _ => None,
     })?;
-    let others = || answer.answers.iter().chain(&answer.additionals);
+    let records = || answer.answers.iter().chain(&answer.additionals);
     let mut engines = Vec::new();
     for record in answer.answers.iter().filter(|record| record.name == *service) {
         let RData::SRV(srv) = &record.data else { continue };
         let mut labels = srv.target.iter().map(|label| String::from_utf8_lossy(label).into_owned());
         let (id, zone) = (labels.next()?, labels.next()?);
-        let of_target = || others().filter(|record| record.name == srv.target);
-        let ip = of_target().find_map(|record| record.data.ip_addr())?;
+        let target_records = || records().filter(|record| record.name == srv.target);
+        let ip = target_records().find_map(|record| record.data.ip_addr())?;
         let mut texts = BTreeMap::new();
-        for record in of_target() {
+        for record in target_records() {
             let RData::TXT(txt) = &record.data else { continue };
             for text in txt.txt_data.iter() {
                 if let Some((key, value)) = String::from_utf8_lossy(text).split_once('=') {
@@ -35,16 +35,16 @@
                 }
             }
         }
-        // Without them placement and the care for cold engines would go by what was never told.
-        let told = |key: &str| texts.get(key).map(String::as_str);
+        // Placement and slow start depend on these fields: an entry without them makes the list unusable.
+        let value = |key: &str| texts.get(key).map(String::as_str);
         let entry = EngineEntry {
             id: id.into(),
             zone: zone.into(),
-            kind: told("kind")?.into(),
-            cell: told("cell")?.parse().ok()?,
+            kind: value("kind")?.into(),
+            cell: value("cell")?.parse().ok()?,
             state: if srv.priority == 0 { EngineState::In } else { EngineState::Draining },
             nominal: f64::from(srv.weight) / 10.0,
-            started: Duration::from_millis(told("started")?.parse().ok()?),
+            started: Duration::from_millis(value("started")?.parse().ok()?),
         };
         engines.push(Listed { entry, address: SocketAddr::new(ip, srv.port) });
     }
--- a/crates/gateway/src/discovery/configured_list.rs
+++ b/crates/gateway/src/discovery/configured_list.rs
@@ -1,4 +1,4 @@
-//! The list of engines as a configuration holds it.
+//! Parses the list of engines in the configuration.
 
 use crate::reducer::Listed;
 use bramblewharf::interface::{EngineEntry, EngineState, Id};
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The list as it stands after an event with this number.
+/// The list of engines with its serial number.
 #[derive(Clone, Debug)]
 pub struct EngineSnapshot {
     pub serial: u64,
     pub engines: Vec<Listed>,
 }
 
-/// Reads `known` of the configuration: the first event holds the whole list, later ones what has changed.
+/// Reads `known` of the configuration: the first event holds the complete list, later ones the changes.
 pub fn read_configured_list(value: &Value) -> Result<EngineSnapshot, String> {
     let mut engines: BTreeMap<Id, Listed> = BTreeMap::new();
     let items = value.get("items").and_then(Value::as_array).ok_or("known.items: is not a list")?;
@@ -25,8 +25,8 @@
         if at == 0 || roster.get("complete").and_then(Value::as_bool) == Some(true) {
             engines.clear();
         }
-        for (at, row) in members.iter().enumerate() {
-            let listed = member(row).map_err(|e| format!("{path}.members[{at}].{e}"))?;
+        for (at, fields) in members.iter().enumerate() {
+            let listed = member(fields).map_err(|e| format!("{path}.members[{at}].{e}"))?;
             engines.insert(listed.entry.id.clone(), listed);
         }
     }
@@ -35,9 +35,9 @@
     Ok(EngineSnapshot { serial, engines: engines.into_values().collect() })
 }
 
-fn member(row: &Value) -> Result<Listed, String> {
+fn member(fields: &Value) -> Result<Listed, String> {
     let text =
-        |key: &str| row.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key}: is not a text"));
+        |key: &str| fields.get(key).and_then(Value::as_str).ok_or_else(|| format!("{key}: is not a text"));
     let state = match text("phase")? {
         "up" => EngineState::In,
         "draining" => EngineState::Draining,
@@ -50,10 +50,10 @@
         id: text("id")?.into(),
         zone: text("locality").unwrap_or_default().into(),
         kind: text("flavor").unwrap_or_default().into(),
-        cell: row.get("cell").and_then(Value::as_u64).unwrap_or(0),
+        cell: fields.get("cell").and_then(Value::as_u64).unwrap_or(0),
         state,
-        nominal: row.get("size").and_then(Value::as_f64).unwrap_or(1.0),
-        started: Duration::from_millis(row.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0)),
+        nominal: fields.get("size").and_then(Value::as_f64).unwrap_or(1.0),
+        started: Duration::from_millis(fields.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0)),
     };
     Ok(Listed { entry, address })
 }
--- a/crates/gateway/src/discovery/sockets.rs
+++ b/crates/gateway/src/discovery/sockets.rs
@@ -1,5 +1,6 @@
-//! The sockets by which the name service is asked. A path may fall silent for one socket and stay so, whatever others hear: a
-//! question that was not answered is followed by one from a fresh socket, and answers are heard on all that were used of late.
+//! The UDP sockets for queries to the name service. A network path may go silent for one socket and stay so
+//! while others work: an unanswered query is followed by one from a new socket, and answers are received on
+//! all recently used sockets.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,19 +11,20 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-/// Sockets that an answer may yet come on, and how often a fresh one is made at the most: together longer than any answer is of use.
-const HEARD: usize = 16;
-const FRESH_EVERY: Duration = Duration::from_millis(100);
+/// How many sockets stay open for late answers, and how often a new one is opened at most. Together they
+/// cover more time than any answer is useful for.
+const MAX_OPEN: usize = 16;
+const REOPEN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sockets for one name service, the one to ask by last.
+/// The sockets for one name service; the last one sends the next query.
 #[derive(Default)]
-pub struct Sockets {
+pub struct QuerySockets {
     open: VecDeque<UdpSocket>,
-    made: Option<Instant>,
+    last_opened: Option<Instant>,
 }
 
-/// A socket for one name service: what others send to it never arrives.
-fn dial(server: SocketAddr) -> io::Result<UdpSocket> {
+/// Opens a socket connected to the name service, so that datagrams of other senders never arrive.
+fn open_socket(server: SocketAddr) -> io::Result<UdpSocket> {
     let local: IpAddr = match server {
         SocketAddr::V4(_) => IpAddr::from([0, 0, 0, 0]),
         SocketAddr::V6(_) => IpAddr::from([0; 16]),
@@ -33,35 +35,35 @@
     UdpSocket::from_std(socket)
 }
 
-impl Sockets {
-    /// Sends a question: by the socket that last heard an answer, or by a fresh one. Where it cannot be sent or none can be had, the
-    /// next question comes in its time.
-    pub async fn ask(&mut self, server: SocketAddr, question: &[u8], fresh: bool) {
-        let due = self.made.is_none_or(|made| made.elapsed() >= FRESH_EVERY);
+impl QuerySockets {
+    /// Sends a query from the socket that last received an answer, or from a new one. Where that fails, the
+    /// next query follows after the ordinary interval.
+    pub async fn send(&mut self, server: SocketAddr, query: &[u8], fresh: bool) {
+        let due = self.last_opened.is_none_or(|opened| opened.elapsed() >= REOPEN_INTERVAL);
         if self.open.is_empty() || (fresh && due) {
-            if let Ok(socket) = dial(server) {
+            if let Ok(socket) = open_socket(server) {
                 self.open.push_back(socket);
-                self.made = Some(Instant::now());
-                if self.open.len() > HEARD {
+                self.last_opened = Some(Instant::now());
+                if self.open.len() > MAX_OPEN {
                     self.open.pop_front();
                 }
             }
         }
         if let Some(socket) = self.open.back() {
-            let _ = socket.send(question).await;
+            let _ = socket.send(query).await;
         }
     }
 
-    /// The next datagram on any of them; that socket is asked by from then on.
-    pub async fn hear(&mut self, bytes: &mut [u8]) -> usize {
+    /// Receives the next datagram on any socket; that socket sends the next query.
+    pub async fn receive(&mut self, bytes: &mut [u8]) -> usize {
         std::future::poll_fn(|cx| {
             for at in (0..self.open.len()).rev() {
                 let mut read = ReadBuf::new(bytes);
-                let came = self.open[at].poll_recv(cx, &mut read).map_ok(|()| read.filled().len());
-                if let Poll::Ready(came) = came {
+                let result = self.open[at].poll_recv(cx, &mut read).map_ok(|()| read.filled().len());
+                if let Poll::Ready(result) = result {
                     let socket = self.open.remove(at);
-                    // One that fails, as nobody listened there, is not asked by again.
-                    if let Ok(length) = came {
+                    // Drop a failed socket, as when nobody listens at the other end.
+                    if let Ok(length) = result {
                         self.open.extend(socket);
                         return Poll::Ready(length);
                     }
@@ -72,9 +74,9 @@
         .await
     }
 
-    /// Nothing is heard any longer.
+    /// Closes all sockets.
     pub fn close(&mut self) {
         self.open.clear();
-        self.made = None;
+        self.last_opened = None;
     }
 }
--- a/crates/gateway/src/discovery/tests.rs
+++ b/crates/gateway/src/discovery/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn earlier_numbers_count_once_they_have_stayed_for_some_seconds() {
+fn an_earlier_serial_is_accepted_after_many_consecutive_answers() {
     let mut client = NameServiceClient::start(None, 5, 7, Logger::root(slog::Discard, slog::o!())).unwrap();
-    let mut news = |no| {
-        let word = client.news(EngineSnapshot { serial: no, engines: Vec::new() }, Instant::now());
-        matches!(word, ListUpdate::List(..))
+    let mut accepted = |serial| {
+        let update = client.accept(EngineSnapshot { serial, engines: Vec::new() }, Instant::now());
+        matches!(update, ListUpdate::List(..))
     };
-    let earlier = |news: &mut dyn FnMut(u64) -> bool| (1..GONE_BACK).any(|_| news(4));
-    assert!(!earlier(&mut news) && !news(5));
-    assert!(!earlier(&mut news) && news(4));
+    let earlier = |accepted: &mut dyn FnMut(u64) -> bool| (1..SERIAL_RESET_ANSWERS).any(|_| accepted(4));
+    assert!(!earlier(&mut accepted) && !accepted(5));
+    assert!(!earlier(&mut accepted) && accepted(4));
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways: datagrams, which may be late, lost or forged.
+//! Gossip between gateways over UDP: datagrams may be late, lost or forged.
 
 use crate::config::Peers as Addresses;
 use bramblewharf::interface::{Event, GossipMessage};
@@ -8,34 +8,41 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// The longest datagram that another gateway may send.
+/// The longest accepted datagram of another gateway.
 pub const MAX_GOSSIP_BYTES: usize = 256;
 
+/// The socket for gossip with the other gateways.
 pub struct PeerSocket {
     socket: UdpSocket,
     addresses: RefCell<Addresses>,
-    own: usize,
-    /// Datagrams of strangers, too long or not readable, since the start.
+    own_index: usize,
+    /// Ignored datagrams since the start: unknown sender, too long, or unreadable.
     ignored_datagrams: Cell<u64>,
 }
 
 impl PeerSocket {
-    pub async fn bind(addresses: Addresses, own: usize) -> io::Result<PeerSocket> {
+    /// Binds the socket; `own_index` is the number of this gateway.
+    pub async fn bind(addresses: Addresses, own_index: usize) -> io::Result<PeerSocket> {
         let socket = UdpSocket::bind(addresses.listen).await?;
-        Ok(PeerSocket { socket, addresses: RefCell::new(addresses), own, ignored_datagrams: Cell::new(0) })
+        Ok(PeerSocket {
+            socket,
+            addresses: RefCell::new(addresses),
+            own_index,
+            ignored_datagrams: Cell::new(0),
+        })
     }
 
-    /// Other gateways are at these addresses from now on; our own stays.
+    /// Replaces the addresses of the other gateways; our own socket stays.
     pub fn set_addresses(&self, addresses: Addresses) {
         self.addresses.replace(addresses);
     }
 
-    /// Sends at once or not at all: what is told of loads is soon told again.
+    /// Sends without waiting, or drops the message: load gossip is soon repeated.
     pub fn send(&self, to: Option<u32>, message: &GossipMessage) {
         let addresses = self.addresses.borrow();
         let address = match to {
             None => addresses.all,
-            Some(peer) if peer as usize == self.own => None,
+            Some(peer) if peer as usize == self.own_index => None,
             Some(peer) => addresses.each.get(peer as usize).copied(),
         };
         if let Some(address) = address {
@@ -43,7 +50,7 @@
         }
     }
 
-    /// The next message of a gateway that we know; others are passed over.
+    /// Receives the next message of a known gateway; other datagrams are ignored.
     pub async fn receive(&self) -> Event {
         let mut bytes = [0; MAX_GOSSIP_BYTES + 1];
         loop {
@@ -57,18 +64,19 @@
                         Some(event) => return event,
                     }
                 }
-                // A peer that is down makes its errors ours; none of them is worth a busy loop.
+                // Errors of a peer that is down (ICMP) surface on our socket; the pause avoids a busy loop.
                 Err(_) => actix_rt::time::sleep(std::time::Duration::from_millis(1)).await,
             }
         }
     }
 
+    /// Ignored datagrams since the start.
     pub fn ignored_datagrams(&self) -> u64 {
         self.ignored_datagrams.get()
     }
 
     fn peer_number(&self, from: SocketAddr) -> Option<u32> {
         let at = self.addresses.borrow().each.iter().position(|address| *address == from)?;
-        (at != self.own).then_some(at as u32)
+        (at != self.own_index).then_some(at as u32)
     }
 }
--- a/crates/gateway/tests/common/name_service.rs
+++ b/crates/gateway/tests/common/name_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the name service.
+//! A stand-in for the name service.
 
 use hickory_proto::op::{Message, MessageType};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
@@ -6,14 +6,15 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::mpsc;
 
-/// The id of a question, for the answer to it.
-pub fn question_id(bytes: &[u8]) -> u16 {
+/// The id of a query, for the answer to it.
+pub fn query_id(bytes: &[u8]) -> u16 {
     Message::from_vec(bytes).unwrap().metadata.id
 }
 
+/// The service name that engines are listed under.
 pub const SERVICE: &str = "_rpc._tcp.mesh.local.";
 
-/// The name service's answer: engines by id, address and priority.
+/// An answer of the name service, with engines by id, address and priority.
 pub fn list_answer(id: u16, serial: u32, engines: &[(&str, SocketAddr, u16)]) -> Message {
     let name = |text: &str| Name::from_ascii(text).unwrap();
     let record = |owner: &str, data| Record::from_rdata(name(owner), 0, data);
@@ -32,25 +33,25 @@
     message
 }
 
-/// Answers the nth question with what `answers` gives for its number and id; tells each question on a channel.
+/// Answers the nth query with what `answers` returns for its number and id; reports each query on a channel.
 pub fn name_service(
     answers: impl Fn(usize, u16) -> Vec<Message> + Send + 'static,
 ) -> (SocketAddr, mpsc::Receiver<usize>) {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let (told, asked) = mpsc::channel();
+    let (reported, queries) = mpsc::channel();
     std::thread::spawn(move || {
         let mut bytes = [0; 512];
         for number in 0.. {
             let (length, from) = socket.recv_from(&mut bytes).unwrap();
-            let question = Message::from_vec(&bytes[..length]).unwrap();
-            for message in answers(number, question.metadata.id) {
+            let query = Message::from_vec(&bytes[..length]).unwrap();
+            for message in answers(number, query.metadata.id) {
                 socket.send_to(&message.to_vec().unwrap(), from).unwrap();
             }
-            if told.send(number).is_err() {
+            if reported.send(number).is_err() {
                 return;
             }
         }
     });
-    (address, asked)
+    (address, queries)
 }
--- a/crates/gateway/tests/many.rs
+++ b/crates/gateway/tests/many.rs
@@ -1,4 +1,4 @@
-//! Many processes of the program at once, against stand-ins that count.
+//! Many gateway processes at once, against counting stand-ins.
 
 mod common;
 use bramblewharf_standins::{answer, nobody, Engine};
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Gateways of one fleet: each with its own file, address and number.
+/// The gateways of one fleet, each with its own configuration file, address and number.
 struct Fleet {
     addresses: Vec<SocketAddr>,
     files: Vec<PathBuf>,
@@ -20,9 +20,11 @@
 
 impl Fleet {
     fn new(name: &str, count: usize, configuration: &Value) -> Fleet {
-        // All are held until each has its own: the machine gives none twice.
-        let held: Vec<_> = (0..count).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-        let addresses: Vec<SocketAddr> = held.iter().map(|held| held.local_addr().unwrap()).collect();
+        // All listeners stay open until each gateway has an address, so that the system assigns none twice.
+        let listeners: Vec<_> =
+            (0..count).map(|_| std::net::TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+        let addresses: Vec<SocketAddr> =
+            listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
         let file = |at: usize| {
             let mut own = configuration.clone();
             own["listen"] = json!(addresses[at].to_string());
@@ -36,13 +38,13 @@
         Fleet { addresses, files, programs: (0..count).map(|_| None).collect() }
     }
 
-    /// From nothing, whatever ran under that number before.
+    /// Starts the gateway as a fresh process, after killing the one under that number.
     fn start(&mut self, at: usize) {
         self.programs[at] = None;
         self.programs[at] = Some(Program::start(&self.files[at]));
     }
 
-    /// How long each took until it said that it is ready, all of them started at once.
+    /// Starts all gateways at once and returns how long each took to become ready.
     fn start_all(&mut self) -> Vec<Duration> {
         let began = Instant::now();
         (0..self.files.len()).for_each(|at| self.programs[at] = None);
@@ -76,30 +78,30 @@
     Answered::last(&mut BufReader::new(stream))
 }
 
-/// Twenty gateways killed and started at once, with a name service that is down and no word from one another, are ready within 10 s,
-/// nine in ten of them at least, and ready means that they serve.
+/// Twenty gateways that are killed and started at once, with the name service down and no gossip, are ready
+/// within 10 s (nine in ten of them at least), and ready means that they serve.
 #[test]
-fn restarted_gateways_are_ready_and_serve_though_nobody_answers_them() {
+fn restarted_gateways_are_ready_and_serve_without_name_service_and_gossip() {
     let engine = Engine::well();
     let mut configuration = configuration(&[engine.address]);
     configuration["names"] = json!(nobody().to_string());
-    // Capacity is no matter here.
+    // Capacity must not limit this test.
     configuration["settings"]["domain"]["sizeCores"] = json!([10_000]);
     let mut fleet = Fleet::new("ready", 20, &configuration);
     for round in 0..2 {
-        let took = fleet.start_all();
-        let in_time = took.iter().filter(|took| **took < Duration::from_secs(10)).count();
-        assert!(in_time >= 18, "round {round}: {took:?}");
+        let durations = fleet.start_all();
+        let ready_in_time = durations.iter().filter(|duration| **duration < Duration::from_secs(10)).count();
+        assert!(ready_in_time >= 18, "round {round}: {durations:?}");
         for (at, address) in fleet.addresses.iter().enumerate() {
             assert_eq!(ask(*address, (100 * round + at) as u64).status, 200, "gateway {at}");
         }
     }
 }
 
-/// What all gateways together send an engine that has just started stays within what it stands, twice its root and two more, with
-/// gateways that are killed and start again meanwhile; and the engine is used.
+/// All gateways together send a cold engine no more than its slow-start limit allows (plus twice the square
+/// root of that and two more), while gateways are killed and restarted; and the engine is used.
 #[test]
-fn twenty_and_thirty_gateways_keep_to_what_a_cold_engine_stands() {
+fn twenty_and_thirty_gateways_do_not_overload_a_cold_engine() {
     const WORK: f64 = 0.1;
     const COLD: Duration = Duration::from_secs(6);
     for count in [20, 30] {
@@ -107,7 +109,7 @@
         let seen = times.clone();
         let run = |call: &bramblewharf_standins::Call| {
             if call.method == "POST" {
-                // What the work takes.
+                // The simulated work.
                 std::thread::sleep(Duration::from_millis(50));
             }
             answer(200, "Page-Count: 1\r\nWork-Ms: 100\r\nPeak-Mb: 1\r\n", b"done\n")
@@ -131,7 +133,7 @@
         let mut fleet = Fleet::new("cold", count, &configuration);
         fleet.start_all();
         let until = Instant::now() + Duration::from_secs(4);
-        // Each gateway has a client that asks again at once; some are killed meanwhile and start from nothing.
+        // Each gateway has a client that calls again at once; some gateways are killed meanwhile and restart.
         let clients: Vec<_> = fleet
             .addresses
             .clone()
@@ -143,7 +145,7 @@
                         if Instant::now() > until {
                             return;
                         }
-                        // A gateway that is being killed answers nothing.
+                        // A gateway that is being killed does not answer.
                         if let Ok(mut stream) = TcpStream::connect(address) {
                             let id = (at * 1_000_000 + n) as u64;
                             let _ = stream.write_all(call("read", id, 60_000, "").as_bytes());
@@ -153,7 +155,7 @@
                 })
             })
             .collect();
-        // One after another, so that each is killed once or twice while the engine is cold.
+        // Restart one after another, so that each is killed once or twice while the engine is cold.
         let (began, mut at) = (Instant::now(), 0);
         while Instant::now() < until {
             if began.elapsed() > Duration::from_millis(100) * at as u32 {
@@ -168,10 +170,10 @@
         let within = |from: &Instant| times.iter().filter(|at| *at >= from && **at < *from + window).count();
         let most = times.iter().map(within).max().unwrap_or(0);
         println!(
-            "{count} processes, {at} restarts: {} sent, {most} in a window of {allowed:.0}",
+            "{count} processes, {at} restarts: {} sent, {most} in one window of {allowed:.0} allowed",
             times.len()
         );
         assert!(most as f64 <= allowed + 2.0 * allowed.sqrt() + 2.0, "{count}: {most} of {allowed}");
-        assert!(times.len() > 10, "{count}: a cold engine left empty is a loss too, {}", times.len());
+        assert!(times.len() > 10, "{count}: the cold engine was hardly used, {}", times.len());
     }
 }
--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -449,7 +449,7 @@
         loop {
             let (length, from) = socket.recv_from(&mut bytes).unwrap();
             if *silent.get_or_insert(from) != from {
-                let answer = list_answer(question_id(&bytes[..length]), 5, &[("x", address, 0)]);
+                let answer = list_answer(query_id(&bytes[..length]), 5, &[("x", address, 0)]);
                 socket.send_to(&answer.to_vec().unwrap(), from).unwrap();
             }
         }
