--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -459,7 +459,7 @@
         loop {
             let (length, from) = socket.recv_from(&mut bytes).unwrap();
             if *silent.get_or_insert(from) != from {
-                let answer = list_answer(question_id(&bytes[..length]), 5, &[("x", address, 0)]);
+                let answer = list_answer(query_id(&bytes[..length]), 5, &[("x", address, 0)]);
                 socket.send_to(&answer.to_vec().unwrap(), from).unwrap();
             }
         }
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -161,8 +161,9 @@
     pub fn new(spec: FleetSpec, program: &Path) -> io::Result<World> {
         let dir = tempfile::tempdir()?;
         fs::write(dir.path().join("key"), "the key of a fleet in the rig")?;
-        let engines: Vec<TimedEngine> =
-            (0..spec.engines).map(|_| TimedEngine::start(spec.statement_time, spec.orphan_retention)).collect();
+        let engines: Vec<TimedEngine> = (0..spec.engines)
+            .map(|_| TimedEngine::start(spec.statement_time, spec.orphan_retention))
+            .collect();
         let mut gateways = Vec::new();
         for _ in 0..spec.gateways {
             let relays: io::Result<Vec<TcpRelay>> =
