--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -878,7 +878,7 @@
         ),
         ("/settings/profiles/1/deadlineUs", json!(-1), "settings.profiles[1].deadlineUs: -1 is not"),
         ("/peers", json!({}), "peers: {} is not a list"),
-        ("/known/no", json!("one"), "known.serial: is not a whole number"),
+        ("/known/no", json!("one"), "known.no: is not a whole number"),
         (
             "/known/items/0/roster/members/0/host_port",
             json!("x"),
