--- a/crates/gateway/tests/owed.rs
+++ b/crates/gateway/tests/owed.rs
@@ -467,8 +467,8 @@
     actix_rt::System::new().block_on(async {
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let mut client = NameServiceClient::start(Some(names), 1, 7, log).unwrap();
-        let heard = client.last_confirmed();
-        let before = heard.get();
+        let last_confirmed = client.last_confirmed();
+        let before = last_confirmed.get();
         let update = loop {
             if let ListUpdate::List(known, _) =
                 tokio::time::timeout(TEST_TIMEOUT, client.next_update()).await.unwrap()
@@ -476,7 +476,7 @@
                 break known;
             }
         };
-        assert!(update.serial == 5 && heard.get() > before);
+        assert!(update.serial == 5 && last_confirmed.get() > before);
     });
 }
 
--- a/crates/gateway/tests/reducer.rs
+++ b/crates/gateway/tests/reducer.rs
@@ -196,11 +196,11 @@
         }
         assert!(timed_out.iter().any(|e| matches!(e, Effect::Stop { execution: 0, .. })), "{timed_out:?}");
         assert_eq!(again(&timed_out), second_copies, "{timed_out:?}");
-        let told = r.step(
+        let notified = r.step(
             START + *timeout + ms(1),
             Input::CancelFinished { id: "s".into(), execution: 0, outcome: CancelOutcome::Over },
         );
-        assert_eq!(again(&told), !second_copies, "{told:?}");
+        assert_eq!(again(&notified), !second_copies, "{notified:?}");
     }
     // An engine that does not receive the cancel does not hold up the statement beyond its deadline.
     let mut r = reducer(false, 9);
@@ -238,9 +238,9 @@
             let mut effects = r.step(now, statement(&id, n, 0, 1000));
             let mut execution = 0;
             while let [Effect::Start { engine, .. }] = &effects[..] {
-                let gone = &**engine == "a";
-                last = if gone { now } else { last };
-                let outcome = if gone { Outcome::Refused } else { Outcome::Completed };
+                let refuses = &**engine == "a";
+                last = if refuses { now } else { last };
+                let outcome = if refuses { Outcome::Refused } else { Outcome::Completed };
                 effects = r.step(now, ended(&id, execution, outcome));
                 execution += 1;
             }
@@ -517,22 +517,22 @@
         run_until(&mut r, START, from);
         assert_eq!(start_count(&r.step(from, statement("s", 1, 1, 400))), 1);
         run_until(&mut r, from, from + ms(420));
-        let told = from + ms(450);
-        run_until(&mut r, from + ms(420), told);
-        r.step(told, Input::CancelFinished { id: "s".into(), execution: 0, outcome });
+        let notified = from + ms(450);
+        run_until(&mut r, from + ms(420), notified);
+        r.step(notified, Input::CancelFinished { id: "s".into(), execution: 0, outcome });
         let next =
             |r: &mut Reducer, at: Duration, id: &str| start_count(&r.step(at, statement(id, 2, 0, 900)));
         match free_after {
             Some(span) => {
                 if !span.is_zero() {
-                    assert_eq!(next(&mut r, told + ms(1), "t"), 0, "{outcome:?}");
-                    run_until(&mut r, told + ms(1), told + span);
+                    assert_eq!(next(&mut r, notified + ms(1), "t"), 0, "{outcome:?}");
+                    run_until(&mut r, notified + ms(1), notified + span);
                 }
-                assert_eq!(next(&mut r, told + span, "u"), 1, "{outcome:?}");
+                assert_eq!(next(&mut r, notified + span, "u"), 1, "{outcome:?}");
             }
             None => {
-                run_until(&mut r, told, told + ms(2000));
-                assert_eq!(next(&mut r, told + ms(2000), "u"), 0, "{outcome:?}");
+                run_until(&mut r, notified, notified + ms(2000));
+                assert_eq!(next(&mut r, notified + ms(2000), "u"), 0, "{outcome:?}");
             }
         }
     }
@@ -573,8 +573,8 @@
         let Some(Effect::Start { timeout, .. }) = first.first() else { panic!("{first:?}") };
         let over = START + *timeout + ms(1);
         r.step(over, Input::Wake);
-        let told = r.step(over + ms(9), Input::CancelFinished { id: "s".into(), execution: 0, outcome });
-        assert_eq!(start_count(&told) == 1, again, "{outcome:?}: {told:?}");
+        let notified = r.step(over + ms(9), Input::CancelFinished { id: "s".into(), execution: 0, outcome });
+        assert_eq!(start_count(&notified) == 1, again, "{outcome:?}: {notified:?}");
     }
 }
 
