--- a/crates/rig/src/agreement.rs
+++ b/crates/rig/src/agreement.rs
@@ -1,5 +1,5 @@
-//! What a fleet agrees on, in virtual time: of each gateway the machine of its leave and the one of its policy, with nothing else
-//! around them. Sizes and costs are looked at here; what must hold is checked by `simulated` and in the policy's own tests.
+//! Measures the cost of agreement in a fleet in virtual time: of each gateway, only the state machines of its
+//! grants and of its policy. The invariants are checked in `simulated` and in the tests of the policy crate.
 
 use bramblewharf_budgets::{Budget, Demand, Measure, Scope, UNIT};
 use bramblewharf_fleet::node::{self, Recipient};
@@ -17,26 +17,28 @@
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-/// Bytes that one gateway sends to the fleet in a second at the most, as its link has it: what is beyond is lost.
+/// Most bytes that one gateway can send per second, as on its link; messages beyond it are dropped.
 pub const MAX_BYTES_PER_SECOND: u64 = 1 << 20;
-/// What IP and UDP put before each message.
+/// Size of the IP and UDP headers of each message.
 pub const HEADER_BYTES: u64 = 28;
-/// Of how many regions a gateway's and a seat's number says which is its own.
+/// Number of regions; the region of a gateway is its number modulo this.
 pub const REGION_COUNT: usize = 5;
-const TOOL: u16 = 60_000;
-/// How often whoever proposes offers it again.
-const OFFERED_AGAIN: Duration = Duration::from_millis(200);
-/// From the write of a policy's file until it is on the disk.
-const DISK: Duration = Duration::from_millis(5);
-
+/// Port that stands for the operators' tool.
+const TOOL_PORT: u16 = 60_000;
+/// Interval at which the tool repeats an offer.
+const OFFER_INTERVAL: Duration = Duration::from_millis(200);
+/// Time until a write of the policy file is on disk.
+const DISK_WRITE_TIME: Duration = Duration::from_millis(5);
+
+/// Parameters of the measured fleet.
 #[derive(Clone, Debug)]
 pub struct AgreementConfig {
     pub gateways: usize,
     pub voters: u8,
     pub lease: Duration,
-    /// With a policy, whose first text has so many bytes; none: leave alone.
+    /// Size of the initial policy's text in bytes; `None` for a fleet without a policy.
     pub policy: Option<usize>,
-    /// What a message takes from one region to another, beyond what it takes within one.
+    /// Additional latency of messages between regions.
     pub between_regions: Duration,
     pub seed: u64,
 }
@@ -54,21 +56,23 @@
     }
 }
 
-/// Said and heard by one gateway: bytes without `HEADER_BYTES`.
+/// Messages of one gateway; bytes don't include `HEADER_BYTES`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub sent: u64,
     pub sent_bytes: u64,
     pub received: u64,
     pub received_bytes: u64,
-    /// Lost because more than `MAX_BYTES_PER_SECOND` was to be sent.
+    /// Messages dropped because `MAX_BYTES_PER_SECOND` was reached.
     pub dropped_messages: u64,
-    /// Processor time of this thread in its machines, and in writing and reading what they say; of seats and of the last gateway.
+    /// Processor time in the state machines; measured for voters and for the last gateway only.
     pub state_machine_time: Duration,
+    /// Processor time for encoding and decoding messages, of the same gateways.
     pub codec_time: Duration,
 }
 
 impl Traffic {
+    /// The difference to an earlier count.
     pub fn since(&self, before: &Traffic) -> Traffic {
         Traffic {
             sent: self.sent - before.sent,
@@ -83,55 +87,56 @@
 }
 
 struct Gateway {
-    leave: Option<node::Node>,
+    node: Option<node::Node>,
     policy: Option<Policy>,
     incarnation: u64,
-    /// What its disk has of the policy.
-    file: Option<(u64, StoredState)>,
-    wakes: Option<Duration>,
-    /// Bytes sent since the second began.
-    second: (Duration, u64),
+    /// The policy file on its disk.
+    stored_policy: Option<(u64, StoredState)>,
+    wakes_at: Option<Duration>,
+    /// Start of the current second and the bytes sent in it.
+    send_window: (Duration, u64),
     traffic: Traffic,
-    /// The seat that gave it leave last, and when.
-    given_by: Option<(u8, Duration)>,
-    started: Duration,
+    /// The voter that granted it a lease last, and when.
+    last_grant: Option<(u8, Duration)>,
+    started_at: Duration,
 }
 
 enum Event {
     Wake(usize, u64),
     Arrives { to: usize, from: SocketAddr, envelope: Box<Envelope>, bytes: u64 },
-    Kept { at: usize, incarnation: u64, generation: u64, kept: Box<StoredState> },
+    PolicyStored { at: usize, incarnation: u64, generation: u64, stored: Box<StoredState> },
     Start(usize),
-    Restart,
+    RestartOne,
     Offer(usize),
 }
 
-/// A change that is proposed: offered again until it is in force or refused.
-struct Offered {
-    text: Revision,
+/// A proposed change, offered again until it is in force or rejected.
+struct Proposal {
+    revision: Revision,
     wait: Duration,
-    over: bool,
+    finished: bool,
 }
 
+/// The simulated fleet.
 pub struct World {
     pub now: Duration,
-    of: AgreementConfig,
-    terms: FleetConfig,
+    config: AgreementConfig,
+    fleet_config: FleetConfig,
     check: Check,
     key: Key,
     rng: WyRand,
     queue: BTreeMap<(Duration, u64), Event>,
-    order: u64,
+    next_sequence: u64,
     gateways: Vec<Gateway>,
-    /// The region that hears no other.
-    cut: Option<usize>,
-    /// Where the operators' tool stands.
-    tool: usize,
-    /// Starts anew: so many a second, each away for so long.
+    /// The region that is cut off from the others.
+    isolated_region: Option<usize>,
+    /// The gateway in whose region the operators' tool runs.
+    tool_location: usize,
+    /// Restarts per second and the downtime of each.
     restarts: (f64, Duration),
-    offers: Vec<Offered>,
-    /// What two looks at the thread's clock take by themselves.
-    look: Duration,
+    proposals: Vec<Proposal>,
+    /// Cost of reading the thread's clock, which is subtracted from measured times.
+    clock_cost: Duration,
 }
 
 fn thread_time() -> Duration {
@@ -143,8 +148,9 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 1 + of as u16))
 }
 
-/// A text of words by commas: `NAME=most executions`; `alone`: a gateway alone may do nothing; `#...` says nothing.
-fn check() -> Check {
+/// Parses a comma-separated policy text: `NAME=LIMIT` limits the executions of a workload, `alone` forbids
+/// everything to a gateway without a grant, and `#...` is a comment.
+fn policy_check() -> Check {
     Arc::new(|revision: &Revision| {
         let mut rules = Rules::default();
         for word in revision.text.split(',').filter(|word| !word.is_empty() && !word.starts_with('#')) {
@@ -160,106 +166,110 @@
     })
 }
 
-/// A revision whose text has so many bytes.
-pub fn revision(number: u64, parent: Digest, words: &str, bytes: usize) -> Revision {
-    let text = format!("{words},#{}", "x".repeat(bytes.saturating_sub(words.len() + 2)));
+/// A revision whose text is padded to this many bytes.
+pub fn revision(number: u64, parent: Digest, rules: &str, bytes: usize) -> Revision {
+    let text = format!("{rules},#{}", "x".repeat(bytes.saturating_sub(rules.len() + 2)));
     Revision { number, parent, author: "ops".into(), reason: "a measurement".into(), text }
 }
 
-/// What the first text permits, which later ones widen or narrow.
+/// The initial policy, which later revisions widen or narrow.
 pub const INITIAL_POLICY: &str = "load=3,report=3";
-/// The same, and a gateway alone may do nothing.
+/// The same, with everything forbidden to a gateway without a grant.
 pub const INITIAL_POLICY_CLOSED: &str = "load=3,report=3,alone";
 
 impl World {
-    pub fn new(of: AgreementConfig, first: &str) -> World {
-        let terms = FleetConfig {
+    /// A fleet whose gateways have just started; `initial_rules` is the initial policy.
+    pub fn new(config: AgreementConfig, initial_rules: &str) -> World {
+        let fleet_config = FleetConfig {
             fleet: 1,
-            max_members: of.gateways as u32,
-            voters: of.voters,
-            lease: of.lease,
+            max_members: config.gateways as u32,
+            voters: config.voters,
+            lease: config.lease,
             drift_percent: 1,
             max_execution_time: 1300 * MS,
             orphan_retention: 500 * MS,
             injected_bug: None,
         };
         let gateway = || Gateway {
-            leave: None,
+            node: None,
             policy: None,
             incarnation: 0,
-            file: None,
-            wakes: None,
-            second: (Duration::ZERO, 0),
+            stored_policy: None,
+            wakes_at: None,
+            send_window: (Duration::ZERO, 0),
             traffic: Traffic::default(),
-            given_by: None,
-            started: Duration::ZERO,
+            last_grant: None,
+            started_at: Duration::ZERO,
         };
-        let looks = 2000;
+        let clock_reads = 2000;
         let began = thread_time();
-        (0..looks).for_each(|_| {
+        (0..clock_reads).for_each(|_| {
             std::hint::black_box(thread_time());
         });
-        let look = (thread_time() - began) / looks;
+        let clock_cost = (thread_time() - began) / clock_reads;
         let mut world = World {
             now: 1000 * Duration::from_secs(1),
-            check: check(),
+            check: policy_check(),
             key: Key::derive(b"a key of sixteen bytes").expect("long enough"),
-            rng: WyRand::new_seed(of.seed),
+            rng: WyRand::new_seed(config.seed),
             queue: BTreeMap::new(),
-            order: 0,
-            gateways: (0..of.gateways).map(|_| gateway()).collect(),
-            cut: None,
-            tool: 0,
+            next_sequence: 0,
+            gateways: (0..config.gateways).map(|_| gateway()).collect(),
+            isolated_region: None,
+            tool_location: 0,
             restarts: (0.0, Duration::ZERO),
-            offers: Vec::new(),
-            look,
-            terms,
-            of,
+            proposals: Vec::new(),
+            clock_cost,
+            fleet_config,
+            config,
         };
-        world.offers.extend(world.of.policy.map(|bytes| Offered {
-            text: revision(1, Digest::default(), first, bytes),
+        world.proposals.extend(world.config.policy.map(|bytes| Proposal {
+            revision: revision(1, Digest::default(), initial_rules, bytes),
             wait: Duration::ZERO,
-            over: true,
+            finished: true,
         }));
         (0..world.gateways.len()).for_each(|at| world.start(at));
         world
     }
 
     fn queue(&mut self, at: Duration, event: Event) {
-        self.order += 1;
-        self.queue.insert((at.max(self.now), self.order), event);
+        self.next_sequence += 1;
+        self.queue.insert((at.max(self.now), self.next_sequence), event);
     }
 
-    pub fn run(&mut self, lasts: Duration) {
-        let until = self.now + lasts;
+    /// Simulates this much time.
+    pub fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while let Some(next) = self.queue.first_entry().filter(|next| next.key().0 <= until) {
             let ((at, _), event) = next.remove_entry();
             self.now = at;
-            self.happen(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    /// Looks every 20 ms: how long it took, or none where it did not come about within so long.
-    pub fn run_until(&mut self, within: Duration, so: impl Fn(&mut World) -> bool) -> Option<Duration> {
+    /// Simulates until the condition holds, checked every 20 ms, and returns the time that it took; `None` on
+    /// a timeout.
+    pub fn run_until(&mut self, timeout: Duration, holds: impl Fn(&mut World) -> bool) -> Option<Duration> {
         let began = self.now;
-        while self.now < began + within {
-            if so(self) {
+        while self.now < began + timeout {
+            if holds(self) {
                 return Some(self.now - began);
             }
             self.run(20 * MS);
         }
-        so(self).then(|| self.now - began)
+        holds(self).then(|| self.now - began)
     }
 
+    /// Ends the process of a gateway.
     pub fn kill(&mut self, at: usize) {
         let gateway = &mut self.gateways[at];
-        (gateway.leave, gateway.policy, gateway.given_by) = (None, None, None);
+        (gateway.node, gateway.policy, gateway.last_grant) = (None, None, None);
     }
 
-    /// A new process at that place, with what its disk has.
+    /// Starts a process of a gateway, unless one runs, with the policy file on its disk.
     pub fn start(&mut self, at: usize) {
-        if self.gateways[at].leave.is_some() {
+        if self.gateways[at].node.is_some() {
             return;
         }
         let (seed, now) = (self.rng.generate(), self.now);
@@ -267,29 +277,29 @@
             name: "whole".into(),
             scope: Scope::default(),
             measure: Measure::StatementsAtOnce,
-            whole: 20 * self.of.gateways as u64 * UNIT,
+            whole: 20 * self.config.gateways as u64 * UNIT,
             floor_percent: 25,
             quantum: UNIT,
             burst: Duration::ZERO,
         };
         let gateway = &mut self.gateways[at];
         gateway.incarnation += 1;
-        gateway.started = now;
+        gateway.started_at = now;
         let incarnation = (now.as_nanos() as u64) << 8 | gateway.incarnation & 0xff;
-        let seat = u8::try_from(at).ok().filter(|seat| *seat < self.of.voters);
-        let mut leave = node::Node::start(
+        let voter = u8::try_from(at).ok().filter(|voter| *voter < self.config.voters);
+        let mut node = node::Node::start(
             node::Start {
                 member_id: at as u32,
-                voter: seat,
+                voter,
                 incarnation: Incarnation(incarnation),
-                config: self.terms.clone(),
+                config: self.fleet_config.clone(),
                 budgets: vec![budget],
                 table_digest: 1,
                 seed,
             },
             now,
         );
-        // What it has in use for as long as it runs, so that it needs some.
+        // One execution in use for as long as the process runs, so that it needs a grant.
         let demand = Demand {
             workload: 0,
             customer: None,
@@ -298,363 +308,388 @@
             mem_mb: 0.0,
             previous_executions: 0,
         };
-        let took = leave.headroom(now).charge(&demand);
-        leave.execution_started(now, &took);
-        gateway.leave = Some(leave);
-        gateway.policy = self.offers.first().and_then(|first| {
+        let charges = node.headroom(now).charge(&demand);
+        node.execution_started(now, &charges);
+        gateway.node = Some(node);
+        gateway.policy = self.proposals.first().and_then(|initial| {
             let start = bramblewharf_policy::Start {
                 member_id: at as u32,
-                voter: seat,
-                terms: bramblewharf_policy::Terms { fleet: self.terms.clone(), injected_bug: None },
+                voter,
+                terms: bramblewharf_policy::Terms { fleet: self.fleet_config.clone(), injected_bug: None },
                 check: self.check.clone(),
-                initial: first.text.clone(),
-                stored: gateway.file.clone(),
+                initial: initial.revision.clone(),
+                stored: gateway.stored_policy.clone(),
                 incarnation,
                 wait: 3000 * MS,
                 fallback_to_initial: false,
             };
             Policy::start(start, now).ok()
         });
-        // A fleet is not started in one moment.
+        // Each process begins to work after a short random delay.
         let soon = now + Duration::from_micros(self.rng.generate_range(0..20_000));
-        gateway.wakes = Some(soon);
+        gateway.wakes_at = Some(soon);
         let incarnation = gateway.incarnation;
         self.queue(soon, Event::Wake(at, incarnation));
     }
 
+    /// Schedules the start of a gateway.
     pub fn start_later(&mut self, at: usize, after: Duration) {
         self.queue(self.now + after, Event::Start(at));
     }
 
-    /// From now on so many start anew a second, anywhere but at the seats and the first that is not one.
-    pub fn restart_continuously(&mut self, a_second: f64, away: Duration) {
-        self.restarts = (a_second, away);
-        self.queue(self.now, Event::Restart);
+    /// From now on, restarts random gateways at this rate, except voters and the first gateway that is not a
+    /// voter.
+    pub fn restart_continuously(&mut self, per_second: f64, downtime: Duration) {
+        self.restarts = (per_second, downtime);
+        self.queue(self.now, Event::RestartOne);
     }
 
-    /// Cuts a region off, or none any more.
+    /// Cuts a region off from the others; `None` ends that.
     pub fn isolate_region(&mut self, region: Option<usize>) {
-        self.cut = region;
+        self.isolated_region = region;
     }
 
-    /// Whoever proposes stands in the region of whoever keeps, as operators who can't reach it go elsewhere.
-    pub fn propose(&mut self, text: Revision, wait: Duration) {
-        self.tool = self.leader().unwrap_or(0);
-        self.offers.push(Offered { text, wait, over: false });
-        self.queue(self.now, Event::Offer(self.offers.len() - 1));
+    /// Proposes a revision from the region of the leader, as operators who can't reach it go elsewhere.
+    pub fn propose(&mut self, revision: Revision, wait: Duration) {
+        self.tool_location = self.leader().unwrap_or(0);
+        self.proposals.push(Proposal { revision, wait, finished: false });
+        self.queue(self.now, Event::Offer(self.proposals.len() - 1));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Wake(at, incarnation) => {
-                if self.gateways[at].incarnation == incarnation && self.gateways[at].leave.is_some() {
-                    self.gateways[at].wakes = None;
+                if self.gateways[at].incarnation == incarnation && self.gateways[at].node.is_some() {
+                    self.gateways[at].wakes_at = None;
                     self.step(at, None);
                 }
             }
             Event::Arrives { to, from, envelope, bytes } => {
                 let gateway = &mut self.gateways[to];
-                if gateway.leave.is_none() {
+                if gateway.node.is_none() {
                     return;
                 }
                 gateway.traffic.received += 1;
                 gateway.traffic.received_bytes += bytes;
-                if let (Message::GrantReply(_), Party::Voter(seat)) = (&envelope.message, envelope.from) {
-                    gateway.given_by = Some((seat, self.now));
+                if let (Message::GrantReply(_), Party::Voter(voter)) = (&envelope.message, envelope.from) {
+                    gateway.last_grant = Some((voter, self.now));
                 }
                 self.step(to, Some((*envelope, from)));
             }
-            Event::Kept { at, incarnation, generation, kept } => {
+            Event::PolicyStored { at, incarnation, generation, stored } => {
                 let gateway = &mut self.gateways[at];
-                if gateway.incarnation != incarnation || gateway.leave.is_none() {
+                if gateway.incarnation != incarnation || gateway.node.is_none() {
                     return;
                 }
-                gateway.file = Some((generation, *kept));
-                let more = gateway.policy.as_mut().map(|policy| policy.write_finished(generation, true));
-                self.carry_policy(at, more.unwrap_or_default());
+                gateway.stored_policy = Some((generation, *stored));
+                let effects = gateway.policy.as_mut().map(|policy| policy.write_finished(generation, true));
+                self.perform_policy_effects(at, effects.unwrap_or_default());
             }
             Event::Start(at) => self.start(at),
-            Event::Restart => {
-                let (a_second, away) = self.restarts;
-                if a_second <= 0.0 {
+            Event::RestartOne => {
+                let (per_second, downtime) = self.restarts;
+                if per_second <= 0.0 {
                     return;
                 }
-                let first = usize::from(self.of.voters) + 1;
+                let first = usize::from(self.config.voters) + 1;
                 if first < self.gateways.len() {
                     let at = self.rng.generate_range(first..self.gateways.len());
-                    if self.gateways[at].leave.is_some() {
+                    if self.gateways[at].node.is_some() {
                         self.kill(at);
-                        self.start_later(at, away);
+                        self.start_later(at, downtime);
                     }
                 }
-                let pause = -(1.0 - self.rng.generate::<f64>()).ln() / a_second;
-                self.queue(self.now + Duration::from_secs_f64(pause), Event::Restart);
+                let pause = -(1.0 - self.rng.generate::<f64>()).ln() / per_second;
+                self.queue(self.now + Duration::from_secs_f64(pause), Event::RestartOne);
             }
             Event::Offer(at) => {
-                if self.offers[at].over {
+                if self.proposals[at].finished {
                     return;
                 }
-                let (digest, wait) = (self.offers[at].text.digest(), self.offers[at].wait);
-                let say = PolicyMessage::Offer { digest, wait_ms: wait.as_millis() as u64 };
-                for seat in 0..usize::from(self.of.voters) {
-                    self.tool_says(seat, &say);
+                let (digest, wait) = (self.proposals[at].revision.digest(), self.proposals[at].wait);
+                let offer = PolicyMessage::Offer { digest, wait_ms: wait.as_millis() as u64 };
+                for voter in 0..usize::from(self.config.voters) {
+                    self.send_from_tool(voter, &offer);
                 }
-                self.queue(self.now + OFFERED_AGAIN, Event::Offer(at));
+                self.queue(self.now + OFFER_INTERVAL, Event::Offer(at));
             }
         }
     }
 
-    fn tool_says(&mut self, to: usize, say: &PolicyMessage) {
-        let message = Message::Policy(say.write());
+    fn send_from_tool(&mut self, to: usize, message: &PolicyMessage) {
+        let message = Message::Policy(message.write());
         let incarnation = Incarnation(1);
         let envelope =
-            Envelope { fleet: self.terms.fleet, from: Party::Tool, incarnation, number: 1, message };
-        let from = SocketAddr::from((Ipv4Addr::LOCALHOST, TOOL));
+            Envelope { fleet: self.fleet_config.fleet, from: Party::Tool, incarnation, number: 1, message };
+        let from = SocketAddr::from((Ipv4Addr::LOCALHOST, TOOL_PORT));
         let Some(bytes) = envelope.encode(&self.key) else { return };
-        self.carry(self.tool, to, from, envelope, bytes.len() as u64);
+        self.deliver(self.tool_location, to, from, envelope, bytes.len() as u64);
     }
 
-    fn heard_by_tool(&mut self, of: usize, envelope: &Envelope) {
+    fn receive_at_tool(&mut self, from: usize, envelope: &Envelope) {
         let Message::Policy(bytes) = &envelope.message else { return };
         match PolicyMessage::read(bytes) {
             Some(PolicyMessage::GetChunk { digest, offset }) => {
-                let Some(offer) = self.offers.iter().find(|offer| offer.text.digest() == digest) else {
+                let Some(proposal) =
+                    self.proposals.iter().find(|proposal| proposal.revision.digest() == digest)
+                else {
                     return;
                 };
-                let text = offer.text.write();
+                let text = proposal.revision.write();
                 let at = (offset as usize).min(text.len());
                 let chunk = text[at..(at + CHUNK_BYTES).min(text.len())].to_vec();
-                let say =
+                let reply =
                     PolicyMessage::Chunk { digest, offset, total_bytes: text.len() as u32, bytes: chunk };
-                self.tool_says(of, &say);
+                self.send_from_tool(from, &reply);
             }
-            Some(PolicyMessage::CoordinatorStatus(stands)) => {
-                for offer in &mut self.offers {
-                    let digest = offer.text.digest();
-                    let refused = stands.last_outcome.as_ref().is_some_and(|(last, why)| {
+            Some(PolicyMessage::CoordinatorStatus(status)) => {
+                for proposal in &mut self.proposals {
+                    let digest = proposal.revision.digest();
+                    let rejected = status.last_outcome.as_ref().is_some_and(|(last, why)| {
                         *last == digest && why.as_ref().is_some_and(|why| !why.contains("under way"))
                     });
-                    offer.over |= stands.current == digest || refused;
+                    proposal.finished |= status.current == digest || rejected;
                 }
             }
             _ => {}
         }
     }
 
-    fn timed(&self, at: usize) -> bool {
-        at < usize::from(self.of.voters) || at + 1 == self.gateways.len()
+    /// Whether processor time is measured for this gateway.
+    fn is_timed(&self, at: usize) -> bool {
+        at < usize::from(self.config.voters) || at + 1 == self.gateways.len()
     }
 
-    /// As the reducer does: what came, then the machines' own time.
-    fn step(&mut self, at: usize, heard: Option<(Envelope, SocketAddr)>) {
-        let (now, timed) = (self.now, self.timed(at));
+    /// Handles a message, or the timers if there is none, in the order of the gateway's reducer.
+    fn step(&mut self, at: usize, received: Option<(Envelope, SocketAddr)>) {
+        let (now, timed) = (self.now, self.is_timed(at));
         let began = timed.then(thread_time);
         let gateway = &mut self.gateways[at];
-        let Some(leave) = &mut gateway.leave else { return };
-        let (mut effects, mut of_policy) = (Vec::new(), Vec::new());
-        match heard {
+        let Some(node) = &mut gateway.node else { return };
+        let (mut effects, mut policy_effects) = (Vec::new(), Vec::new());
+        match received {
             Some((Envelope { from: party, message: Message::Policy(bytes), .. }, from)) => {
-                let (to, place) = match party {
-                    Party::Voter(seat) => (Recipient::Voter(seat), None),
-                    Party::Member(place) => (Recipient::Address(from), Some(place)),
+                let (to, member_id) = match party {
+                    Party::Voter(voter) => (Recipient::Voter(voter), None),
+                    Party::Member(member_id) => (Recipient::Address(from), Some(member_id)),
                     Party::Tool => (Recipient::Address(from), None),
                 };
-                if let (Some(policy), Some(say)) = (&mut gateway.policy, PolicyMessage::read(&bytes)) {
-                    of_policy = policy.handle_message(now, to, place, say, leave.leader_lease(now));
+                if let (Some(policy), Some(message)) = (&mut gateway.policy, PolicyMessage::read(&bytes)) {
+                    policy_effects =
+                        policy.handle_message(now, to, member_id, message, node.leader_lease(now));
                 }
             }
-            Some((envelope, from)) => effects = leave.handle_message(now, envelope, from),
+            Some((envelope, from)) => effects = node.handle_message(now, envelope, from),
             None => {
-                effects = leave.tick(now);
+                effects = node.tick(now);
                 if let Some(policy) = gateway.policy.as_mut().filter(|policy| now >= policy.due(now)) {
-                    of_policy = policy.tick(now, leave.leader_lease(now));
+                    policy_effects = policy.tick(now, node.leader_lease(now));
                 }
             }
         }
         if let Some(began) = began {
-            gateway.traffic.state_machine_time += (thread_time() - began).saturating_sub(self.look);
+            gateway.traffic.state_machine_time += (thread_time() - began).saturating_sub(self.clock_cost);
         }
         for effect in effects {
             if let node::Effect::Send { to, envelope } = effect {
-                self.say(at, to, envelope);
+                self.send(at, to, envelope);
             }
         }
-        self.carry_policy(at, of_policy);
-        self.wake(at);
+        self.perform_policy_effects(at, policy_effects);
+        self.schedule_wake(at);
     }
 
-    fn carry_policy(&mut self, at: usize, effects: Vec<bramblewharf_policy::Effect>) {
+    fn perform_policy_effects(&mut self, at: usize, effects: Vec<bramblewharf_policy::Effect>) {
         for effect in effects {
             match effect {
-                bramblewharf_policy::Effect::Send { to, message: say } => {
-                    let as_place = matches!(say, PolicyMessage::GrantRequest(_));
-                    let message = Message::Policy(say.write());
+                bramblewharf_policy::Effect::Send { to, message } => {
+                    let as_member = matches!(message, PolicyMessage::GrantRequest(_));
+                    let message = Message::Policy(message.write());
                     let envelope =
-                        self.gateways[at].leave.as_mut().map(|leave| leave.wrap_message(message, as_place));
+                        self.gateways[at].node.as_mut().map(|node| node.wrap_message(message, as_member));
                     if let Some(envelope) = envelope {
-                        self.say(at, to, envelope);
+                        self.send(at, to, envelope);
                     }
                 }
                 bramblewharf_policy::Effect::Store { generation, bytes } => {
-                    let Ok((_, kept)) = StoredState::read(&bytes) else { continue };
+                    let Ok((_, stored)) = StoredState::read(&bytes) else { continue };
                     let incarnation = self.gateways[at].incarnation;
-                    let kept = Box::new(kept);
-                    self.queue(self.now + DISK, Event::Kept { at, incarnation, generation, kept });
+                    let stored = Box::new(stored);
+                    self.queue(
+                        self.now + DISK_WRITE_TIME,
+                        Event::PolicyStored { at, incarnation, generation, stored },
+                    );
                 }
                 bramblewharf_policy::Effect::PermitChanged => {}
             }
         }
     }
 
-    fn wake(&mut self, at: usize) {
+    /// Schedules the next wake-up of a gateway.
+    fn schedule_wake(&mut self, at: usize) {
         let now = self.now;
         let gateway = &mut self.gateways[at];
-        let Some(leave) = &gateway.leave else { return };
+        let Some(node) = &gateway.node else { return };
         let policy = gateway.policy.as_ref().map(|policy| policy.due(now));
-        let due = policy.into_iter().chain([leave.due(now)]).min().unwrap_or(now).max(now + MS / 10);
-        if gateway.wakes.is_none_or(|other| due < other || other <= now) {
-            gateway.wakes = Some(due);
+        let due = policy.into_iter().chain([node.due(now)]).min().unwrap_or(now).max(now + MS / 10);
+        if gateway.wakes_at.is_none_or(|other| due < other || other <= now) {
+            gateway.wakes_at = Some(due);
             let incarnation = gateway.incarnation;
             self.queue(due, Event::Wake(at, incarnation));
         }
     }
 
-    fn say(&mut self, from: usize, to: Recipient, envelope: Envelope) {
-        let timed = self.timed(from);
+    fn send(&mut self, from: usize, to: Recipient, envelope: Envelope) {
+        let timed = self.is_timed(from);
         let began = timed.then(thread_time);
         let Some(bytes) = envelope.encode(&self.key) else { return };
-        let took = began.map(|began| (thread_time() - began).saturating_sub(self.look));
+        let took = began.map(|began| (thread_time() - began).saturating_sub(self.clock_cost));
         let length = bytes.len() as u64;
         let now = self.now;
         let gateway = &mut self.gateways[from];
         gateway.traffic.codec_time += took.unwrap_or_default();
-        if now >= gateway.second.0 + Duration::from_secs(1) {
-            gateway.second = (now, 0);
+        if now >= gateway.send_window.0 + Duration::from_secs(1) {
+            gateway.send_window = (now, 0);
         }
-        if gateway.second.1 + length > MAX_BYTES_PER_SECOND {
+        if gateway.send_window.1 + length > MAX_BYTES_PER_SECOND {
             gateway.traffic.dropped_messages += 1;
             return;
         }
-        gateway.second.1 += length;
+        gateway.send_window.1 += length;
         gateway.traffic.sent += 1;
         gateway.traffic.sent_bytes += length;
         let to = match to {
-            Recipient::Voter(seat) => usize::from(seat),
-            Recipient::Address(address) if address.port() == TOOL => {
-                return self.heard_by_tool(from, &envelope)
+            Recipient::Voter(voter) => usize::from(voter),
+            Recipient::Address(address) if address.port() == TOOL_PORT => {
+                return self.receive_at_tool(from, &envelope)
             }
             Recipient::Address(address) => usize::from(address.port()) - 1,
         };
-        if self.timed(to) {
+        if self.is_timed(to) {
             let began = thread_time();
-            std::hint::black_box(Envelope::decode(&bytes, &self.key, self.terms.fleet));
-            self.gateways[to].traffic.codec_time += (thread_time() - began).saturating_sub(self.look);
+            std::hint::black_box(Envelope::decode(&bytes, &self.key, self.fleet_config.fleet));
+            self.gateways[to].traffic.codec_time += (thread_time() - began).saturating_sub(self.clock_cost);
         }
-        self.carry(from, to, address(from), envelope, length);
+        self.deliver(from, to, address(from), envelope, length);
     }
 
-    fn carry(&mut self, from: usize, to: usize, by: SocketAddr, envelope: Envelope, bytes: u64) {
+    /// Delivers a message unless the regions can't reach each other.
+    fn deliver(&mut self, from: usize, to: usize, sender: SocketAddr, envelope: Envelope, bytes: u64) {
         let (one, other) = (from % REGION_COUNT, to % REGION_COUNT);
-        if to >= self.gateways.len() || one != other && (self.cut == Some(one) || self.cut == Some(other)) {
+        if to >= self.gateways.len()
+            || one != other && (self.isolated_region == Some(one) || self.isolated_region == Some(other))
+        {
             return;
         }
         let mut delay = Duration::from_micros(self.rng.generate_range(50..1500));
         if one != other {
-            delay += self.of.between_regions;
+            delay += self.config.between_regions;
         }
         let envelope = Box::new(envelope);
-        self.queue(self.now + delay, Event::Arrives { to, from: by, envelope, bytes });
+        self.queue(self.now + delay, Event::Arrives { to, from: sender, envelope, bytes });
     }
 
-    /// Of all that are there and not cut off.
-    fn reached(&self) -> impl Iterator<Item = usize> + '_ {
-        let there = |at: &usize| self.gateways[*at].leave.is_some() && self.cut != Some(at % REGION_COUNT);
-        (0..self.gateways.len()).filter(there)
+    /// The gateways that run and are not cut off.
+    fn reachable(&self) -> impl Iterator<Item = usize> + '_ {
+        let is_reachable =
+            |at: &usize| self.gateways[*at].node.is_some() && self.isolated_region != Some(at % REGION_COUNT);
+        (0..self.gateways.len()).filter(is_reachable)
     }
 
+    /// The leader, if it can be reached.
     pub fn leader(&self) -> Option<usize> {
-        let seats = self.reached().take_while(|at| *at < usize::from(self.of.voters));
-        seats
+        let voters = self.reachable().take_while(|at| *at < usize::from(self.config.voters));
+        voters
             .into_iter()
-            .find(|at| self.gateways[*at].leave.as_ref().is_some_and(|node| node.is_leader(self.now)))
+            .find(|at| self.gateways[*at].node.as_ref().is_some_and(|node| node.is_leader(self.now)))
     }
 
+    /// Whether a gateway's process runs.
     pub fn is_running(&self, at: usize) -> bool {
-        self.gateways[at].leave.is_some()
+        self.gateways[at].node.is_some()
     }
 
-    /// Gateways that are there, can be reached, and have no leave: of budgets, and of the policy where there is one.
+    /// Number of reachable gateways without a grant of budgets, and without one of the policy.
     pub fn count_without_grant(&mut self) -> (usize, usize) {
-        let (now, reached) = (self.now, self.reached().collect::<Vec<_>>());
-        let (mut leave, mut policy) = (0, 0);
+        let (now, reached) = (self.now, self.reachable().collect::<Vec<_>>());
+        let (mut without_budgets, mut without_policy) = (0, 0);
         for at in reached {
             let gateway = &mut self.gateways[at];
-            let Some(node) = &mut gateway.leave else { continue };
-            leave += usize::from(!node.status(now).has_grant);
-            policy += usize::from(gateway.policy.as_ref().is_some_and(|policy| policy.phase(now).is_none()));
+            let Some(node) = &mut gateway.node else { continue };
+            without_budgets += usize::from(!node.status(now).has_grant);
+            without_policy +=
+                usize::from(gateway.policy.as_ref().is_some_and(|policy| policy.phase(now).is_none()));
         }
-        (leave, policy)
+        (without_budgets, without_policy)
     }
 
-    /// Whether somebody, or everybody that can be reached, was given leave by another seat than this since then. The keeper's own
-    /// gateway asks without a message.
-    pub fn granted_since(&self, since: Duration, but: usize, all: bool) -> bool {
-        let keeper = self.leader();
-        let given = |at: usize| {
-            self.gateways[at].given_by.is_some_and(|(seat, when)| when > since && usize::from(seat) != but)
+    /// Whether any, or every, reachable gateway has received a grant from another voter than `except` since
+    /// then. The leader's own gateway requests its grants without a message.
+    pub fn granted_since(&self, since: Duration, except: usize, all: bool) -> bool {
+        let leader = self.leader();
+        let granted = |at: usize| {
+            self.gateways[at]
+                .last_grant
+                .is_some_and(|(voter, when)| when > since && usize::from(voter) != except)
         };
         match all {
-            true => keeper.is_some() && self.reached().all(|at| given(at) || Some(at) == keeper),
-            false => self.reached().any(given),
+            true => leader.is_some() && self.reachable().all(|at| granted(at) || Some(at) == leader),
+            false => self.reachable().any(granted),
         }
     }
 
-    /// Whether a new keeper still waits for what was given before it.
+    /// Whether a new leader still waits for the grants of its predecessor to expire, or there is no leader.
     pub fn is_recovering(&mut self) -> bool {
         let now = self.now;
-        let keeper = self.leader();
-        let leave = keeper.and_then(|at| self.gateways[at].leave.as_mut());
-        leave.is_none_or(|leave| leave.status(now).leader.is_none_or(|keeper| keeper.is_recovering))
+        let leader = self.leader();
+        let node = leader.and_then(|at| self.gateways[at].node.as_mut());
+        node.is_none_or(|node| node.status(now).leader.is_none_or(|leader| leader.is_recovering))
     }
 
-    /// What whoever keeps says of the policy: the phase, what is in force, how the last proposal ended, whom one waits for.
+    /// The leader's status of the policy: the phase, the revision in force, the last outcome, and whom a
+    /// change waits for.
     pub fn coordinator_status(&self) -> Option<bramblewharf_policy::message::CoordinatorStatus> {
         let at = self.leader()?;
         self.gateways[at].policy.as_ref()?.status(self.now).coordinator
     }
 
-    /// Whether all that are there and can be reached decide by that one alone. One that has only started may have no leave yet.
+    /// Whether all reachable gateways decide by this revision alone; one that has just started may not have a
+    /// grant yet.
     pub fn is_enforced_everywhere(&self, digest: Digest) -> bool {
-        self.reached().all(|at| {
+        self.reachable().all(|at| {
             let gateway = &self.gateways[at];
             gateway.policy.as_ref().is_some_and(|policy| match policy.phase(self.now) {
-                None => self.now < gateway.started + 3000 * MS,
+                None => self.now < gateway.started_at + 3000 * MS,
                 Some(phase) => {
-                    let by = policy.status(self.now).enforced;
-                    !phase.is_transition() && by.is_some_and(|(_, by)| by == digest)
+                    let enforced = policy.status(self.now).enforced;
+                    !phase.is_transition() && enforced.is_some_and(|(_, enforced)| enforced == digest)
                 }
             })
         })
     }
 
-    /// How a proposal ended, where it is over: why it was refused, if it was.
+    /// Why a proposal was rejected, if it was.
     pub fn rejection_reason(&self, digest: Digest) -> Option<String> {
         let (last, why) = self.coordinator_status()?.last_outcome?;
         why.filter(|why| last == digest && !why.contains("under way"))
     }
 
+    /// The traffic of one gateway so far.
     pub fn traffic(&self, at: usize) -> Traffic {
         self.gateways[at].traffic
     }
 
+    /// Number of gateways.
     pub fn len(&self) -> usize {
         self.gateways.len()
     }
 
+    /// Whether there are no gateways.
     pub fn is_empty(&self) -> bool {
         self.gateways.is_empty()
     }
 
+    /// The traffic of every gateway so far.
     pub fn traffic_of_all(&self) -> Vec<Traffic> {
         self.gateways.iter().map(|gateway| gateway.traffic).collect()
     }
--- a/crates/rig/src/allocations.rs
+++ b/crates/rig/src/allocations.rs
@@ -1,11 +1,12 @@
-//! What one thread allocates, for whoever measures: a program that has `CountingAllocator` as its allocator counts only where
-//! a thread asks for it; every other pays one look at a flag of its own.
+//! Counts the allocations of one thread. A program with `CountingAllocator` as its global allocator counts
+//! only on threads that ask for it; every other allocation costs the check of a thread-local flag.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 use std::hint::black_box;
 
-/// Allocations made, their bytes, and bytes retained: those given back are taken off, whoever made them.
+/// Number of allocations, their bytes, and the bytes retained: freed bytes are subtracted, whichever thread
+/// allocated them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Allocated {
     pub calls: u64,
@@ -18,10 +19,11 @@
     static TOTALS: Cell<Allocated> = const { Cell::new(Allocated { calls: 0, bytes: 0, retained: 0 }) };
 }
 
+/// The system allocator with counters.
 pub struct CountingAllocator;
 
 fn count(bytes: usize, freed: usize) {
-    // A thread that ends may free more after its own values are gone.
+    // A thread that ends may free memory after its thread-local values are destroyed.
     if !COUNTING_ENABLED.try_with(Cell::get).unwrap_or(false) {
         return;
     }
@@ -34,7 +36,7 @@
     });
 }
 
-// Guards nothing: it adds a count to the system's own allocator.
+// SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(layout.size(), 0);
@@ -51,19 +53,19 @@
         System.dealloc(at, layout)
     }
 
-    // Without this one the system's would copy what it can grow in place.
+    // The default implementation would copy where the system allocator can grow in place.
     unsafe fn realloc(&self, at: *mut u8, layout: Layout, size: usize) -> *mut u8 {
         count(size, layout.size());
         System.realloc(at, layout, size)
     }
 }
 
-/// What this thread allocates while `work` is done. All zero where the program has another allocator: see
-/// `is_counting`.
+/// Runs `work` and returns what this thread allocated meanwhile; all zero in a program with another
+/// allocator, see `is_counting`.
 pub fn count_during<T>(work: impl FnOnce() -> T) -> (T, Allocated) {
     let before = TOTALS.get();
     COUNTING_ENABLED.set(true);
-    let done = work();
+    let result = work();
     COUNTING_ENABLED.set(false);
     let after = TOTALS.get();
     let counted = Allocated {
@@ -71,10 +73,10 @@
         bytes: after.bytes - before.bytes,
         retained: after.retained - before.retained,
     };
-    (done, counted)
+    (result, counted)
 }
 
-/// Whether this program counts: a figure that nobody counted is not zero but unknown.
+/// Whether this program counts allocations; if not, a count of zero means unknown.
 pub fn is_counting() -> bool {
     count_during(|| drop(black_box(Box::new(1u64)))).1.calls > 0
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,6 +1,10 @@
-//! Fleets under fire. `agreed` plays what a fleet agrees on, at any size; `simulated` plays the machines of a fleet in virtual time, thousands of them, with a network that loses,
-//! doubles, delays and cuts; `world` starts the program itself, with a `relay` on each way between processes; `campaign` plays plans against them; `soak` runs a few dozen
-//! processes of the program under random faults that overlap and judges what they leave; `scale` measures fleets at the operators' size; `plan` says what breaks when, by a seed, and makes a plan that fails smaller.
+//! Test rig for fleets of gateways: simulations, fault injection into real processes, and measurements.
+//!
+//! `simulated` runs the state machines of a fleet in virtual time, with a network that loses, duplicates, delays and cuts.
+//! `agreement` measures the cost of a fleet's agreement in virtual time. `world` starts the real program, with a `relay` on each
+//! path between processes, and `campaign` runs fault plans against it. `soak` runs a few dozen processes under overlapping random
+//! faults and checks their records. `scale` measures fleets of production size. `plan` generates fault plans from a seed and
+//! minimizes a failing one. `allocations` counts allocations.
 
 pub mod agreement;
 pub mod allocations;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,4 +1,5 @@
-//! Campaigns against fleets: many plans of faults, and the smallest that breaks something.
+//! Command line of the test rig: runs fault plans, soak tests, simulations and measurements against fleets of
+//! gateways.
 
 use bramblewharf_fleet::InjectedBug;
 use bramblewharf_gateway::{cli, machine_time, policy_cli, Ports};
@@ -6,7 +7,7 @@
 use bramblewharf_rig::campaign;
 use bramblewharf_rig::plan::{count_by_kind, generate, minimize, Plan};
 use bramblewharf_rig::scale::{self, Scale};
-use bramblewharf_rig::simulated::{play, Fleet};
+use bramblewharf_rig::simulated::{simulate, Fleet};
 use bramblewharf_rig::soak;
 use bramblewharf_rig::world;
 use clap::{Parser, Subcommand, ValueEnum};
@@ -16,39 +17,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts where `scale decide` asks for it.
+/// Counts allocations where `scale decide` asks for it.
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[derive(Parser)]
-#[command(name = "bramblewharf-rig", about = "Fleets of gateways under fire")]
-struct Line {
+#[command(name = "bramblewharf-rig", about = "Tests and measures fleets of gateways under faults")]
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// The program itself, as it serves, with ports that it doesn't have.
+    /// Runs the gateway itself, with test hooks that the product doesn't have.
     Serve {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         settings: Option<PathBuf>,
-        /// Parts in a thousand that its clock is fast.
+        /// How many parts in a thousand its clock is fast.
         #[arg(long, default_value_t = 0, allow_hyphen_values = true)]
         clock_fast: i64,
-        /// A known mistake, to see that it is found.
+        /// A bug to inject, to test that the checks find it.
         #[arg(long)]
         wrong: Option<Mistake>,
-        /// Killed with whoever started it: nothing that a measurement began is left behind.
+        /// The process is killed when its parent ends, so that a measurement leaves no process behind.
         #[arg(long, hide = true)]
         ends_with_its_parent: bool,
     },
-    /// The fleet's policy, as the program has it.
+    /// Manages the fleet's policy, as the gateway's own command does.
     #[command(subcommand)]
     Policy(policy_cli::Policy),
-    /// Plans against processes of the program, one a seed, in real time.
+    /// Runs fault plans against gateway processes in real time, one plan per seed.
     Campaign {
         #[arg(long, default_value_t = 1)]
         from: u64,
@@ -58,13 +59,14 @@
         gateways: usize,
         #[arg(long, default_value_t = 3)]
         seats: usize,
-        /// Faults a plan, within so many seconds.
+        /// Faults per plan; `--seconds` sets its length.
         #[arg(long, default_value_t = 10)]
         faults: usize,
         #[arg(long, default_value_t = 12)]
         seconds: u64,
     },
-    /// Processes of the program under random faults that overlap, a run a seed; prints what did not hold.
+    /// Runs gateway processes under overlapping random faults, one run per seed, and prints broken
+    /// invariants.
     Soak {
         #[arg(long, default_value_t = 1)]
         from: u64,
@@ -77,21 +79,22 @@
         /// Clients of each gateway.
         #[arg(long, default_value_t = 4)]
         clients: usize,
-        /// Faults a run, within so many seconds.
+        /// Faults per run; `--seconds` sets its length.
         #[arg(long, default_value_t = 24)]
         faults: usize,
-        /// Faults beyond those: engines that read statements late, or are stopped.
+        /// Additional faults: engines that read statements late or are stopped.
         #[arg(long, default_value_t = 0)]
         late_reads: usize,
         #[arg(long, default_value_t = 8)]
         seconds: u64,
     },
-    /// Fleets at the operators' size.
+    /// Measures fleets of production size.
     #[command(subcommand)]
     Scale(Scale),
-    /// Plans in virtual time, one a seed; prints how often each kind of fault was caused, and what broke, made smaller.
+    /// Simulates fault plans in virtual time, one per seed; prints the count of each kind of fault, and
+    /// minimized plans that break an invariant.
     Simulate {
-        /// The first seed, and how many.
+        /// The first seed; `--plans` sets how many are run.
         #[arg(long, default_value_t = 1)]
         from: u64,
         #[arg(long, default_value_t = 500)]
@@ -100,7 +103,7 @@
         gateways: usize,
         #[arg(long, default_value_t = 3)]
         seats: u8,
-        /// Faults a plan, and its seconds of the fleet's own time.
+        /// Faults per plan; `--seconds` sets its length in virtual time.
         #[arg(long, default_value_t = 12)]
         faults: usize,
         #[arg(long, default_value_t = 40)]
@@ -108,19 +111,19 @@
     },
 }
 
-/// Of the known mistakes, those that processes can show.
+/// The bugs that can be injected into processes; the variants' names are values of `--wrong`.
 #[derive(Clone, Copy, ValueEnum)]
 enum Mistake {
     GivesAnewAtOnce,
     NoWaitingOut,
     FreeAtTheKill,
     SettledUnheard,
-    /// Of policy: from one revision to the next at once.
+    /// In the policy: a gateway changes from one revision to the next without the phase in which both apply.
     SkipsBoth,
 }
 
 fn main() -> ExitCode {
-    match Line::parse().command {
+    match Arguments::parse().command {
         Command::Serve { config, settings, clock_fast, wrong, ends_with_its_parent } => {
             if ends_with_its_parent {
                 let _ = rustix::process::set_parent_process_death_signal(Some(rustix::process::Signal::KILL));
@@ -132,7 +135,7 @@
             ExitCode::FAILURE
         }),
         Command::Campaign { from, plans, gateways, seats, faults, seconds } => {
-            against_processes(from, plans, gateways, seats, faults, Duration::from_secs(seconds))
+            run_campaign(from, plans, gateways, seats, faults, Duration::from_secs(seconds))
         }
         Command::Soak { from, seeds, gateways, engines, clients, faults, late_reads, seconds } => {
             let (request_interval, duration) = (Duration::from_millis(120), Duration::from_secs(seconds));
@@ -147,7 +150,7 @@
             };
             soak_seeds(from, seeds, size)
         }
-        Command::Scale(what) => match scale::run(&what) {
+        Command::Scale(command) => match scale::run(&command) {
             Ok(()) => ExitCode::SUCCESS,
             Err(message) => {
                 eprintln!("bramblewharf-rig: {message}");
@@ -155,14 +158,14 @@
             }
         },
         Command::Simulate { from, plans, gateways, seats, faults, seconds } => {
-            simulate(from, plans, gateways, seats, faults, Duration::from_secs(seconds))
+            simulate_plans(from, plans, gateways, seats, faults, Duration::from_secs(seconds))
         }
     }
 }
 
 fn soak_seeds(from: u64, seeds: u64, size: soak::Size) -> ExitCode {
     let program = std::env::current_exe().expect("the path of this program");
-    let mut broken = 0;
+    let mut failed_seeds = 0;
     for seed in from..from + seeds {
         match soak::run(seed, size, &program) {
             Ok(report) => {
@@ -173,18 +176,18 @@
                 report.violations.iter().take(12).for_each(|violation| println!("  {violation}"));
                 report.traces.iter().for_each(|line| println!("      {line}"));
                 if !report.violations.is_empty() {
-                    broken += 1;
+                    failed_seeds += 1;
                     report.plan.iter().for_each(|(at, fault)| println!("    {at:?} {fault:?}"));
                 }
             }
             Err(error) => {
                 println!("seed {seed}: not run: {error}");
-                broken += 1;
+                failed_seeds += 1;
             }
         }
     }
-    println!("{seeds} seeds, {broken} with a violation or not run");
-    if broken == 0 {
+    println!("{seeds} seeds, {failed_seeds} with a violation or not run");
+    if failed_seeds == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -193,9 +196,9 @@
 
 fn serve(config: PathBuf, settings: Option<PathBuf>, fast: i64, wrong: Option<Mistake>) -> ExitCode {
     let start = machine_time();
-    let ticks = move || {
-        let passed = machine_time() - start;
-        start + passed.mul_f64((1000 + fast) as f64 / 1000.0)
+    let drifting_clock = move || {
+        let elapsed = machine_time() - start;
+        start + elapsed.mul_f64((1000 + fast) as f64 / 1000.0)
     };
     let wrong_policy = matches!(wrong, Some(Mistake::SkipsBoth))
         .then_some(bramblewharf_policy::InjectedBug::SkipsTransition);
@@ -206,7 +209,7 @@
         Mistake::SettledUnheard => Some(InjectedBug::AssumesPredecessorEnded),
         Mistake::SkipsBoth => None,
     });
-    let ticks = (fast != 0).then(|| Rc::new(ticks) as _);
+    let ticks = (fast != 0).then(|| Rc::new(drifting_clock) as _);
     let ports = Ports { ticks, wrong, wrong_policy, ..Ports::default() };
     match cli::serve(Some(config), settings, ports) {
         Ok(()) => ExitCode::SUCCESS,
@@ -217,18 +220,27 @@
     }
 }
 
-fn simulate(from: u64, plans: u64, gateways: usize, seats: u8, faults: usize, lasts: Duration) -> ExitCode {
-    let plan = |seed| generate(seed, gateways, usize::from(seats), lasts.mul_f64(0.8), faults);
-    let fleet = |seed| Fleet { gateways, places: gateways as u32, seats, seed, ..Fleet::default() };
-    let fails = |seed: u64, plan: &Plan| play(fleet(seed), plan.clone(), lasts).broken;
-    let broken: Vec<u64> =
-        (from..from + plans).into_par_iter().filter(|seed| fails(*seed, &plan(*seed)).is_some()).collect();
+fn simulate_plans(
+    from: u64,
+    plans: u64,
+    gateways: usize,
+    voters: u8,
+    faults: usize,
+    duration: Duration,
+) -> ExitCode {
+    let plan = |seed| generate(seed, gateways, usize::from(voters), duration.mul_f64(0.8), faults);
+    let fleet = |seed| Fleet { gateways, max_members: gateways as u32, voters, seed, ..Fleet::default() };
+    let violation = |seed: u64, plan: &Plan| simulate(fleet(seed), plan.clone(), duration).violation;
+    let broken: Vec<u64> = (from..from + plans)
+        .into_par_iter()
+        .filter(|seed| violation(*seed, &plan(*seed)).is_some())
+        .collect();
     let all: Vec<Plan> = (from..from + plans).map(plan).collect();
-    println!("{plans} plans, {gateways} gateways, {seats} seats: {} broke", broken.len());
+    println!("{plans} plans, {gateways} gateways, {voters} voters: {} broke an invariant", broken.len());
     count_by_kind(all.iter()).iter().for_each(|(kind, count)| println!("  {kind:12} {count}"));
     for seed in broken.iter().take(3) {
-        let small = minimize(plan(*seed), |plan| fails(*seed, plan).is_some());
-        println!("seed {seed}: {:?}\n  by {small:#?}", fails(*seed, &small));
+        let small = minimize(plan(*seed), |plan| violation(*seed, plan).is_some());
+        println!("seed {seed}: {:?}\n  by {small:#?}", violation(*seed, &small));
     }
     if broken.is_empty() {
         ExitCode::SUCCESS
@@ -237,13 +249,13 @@
     }
 }
 
-fn against_processes(
+fn run_campaign(
     from: u64,
     plans: u64,
     gateways: usize,
-    seats: usize,
+    voters: usize,
     faults: usize,
-    lasts: Duration,
+    duration: Duration,
 ) -> ExitCode {
     let program = match std::env::current_exe() {
         Ok(program) => program,
@@ -252,38 +264,38 @@
             return ExitCode::FAILURE;
         }
     };
-    let plan = |seed| campaign::for_processes(generate(seed, gateways, seats, lasts, faults));
+    let plan = |seed| campaign::for_processes(generate(seed, gateways, voters, duration, faults));
     let fleet = |seed| world::FleetSpec {
         gateways,
-        voters: seats,
+        voters,
         whole: 6 * gateways as u64,
         seed,
         ..world::FleetSpec::default()
     };
-    let (mut broke, mut slowest, mut completed) = (0, Duration::ZERO, 0);
+    let (mut failed_plans, mut slowest_recovery, mut completed) = (0, Duration::ZERO, 0);
     for seed in from..from + plans {
         match campaign::run(fleet(seed), &plan(seed), &program) {
             Ok(outcome) => {
                 completed += outcome.completed;
-                slowest = slowest.max(outcome.recovered_after.unwrap_or_default());
-                if let Some(broken) = outcome.violation {
-                    broke += 1;
-                    println!("seed {seed}: {broken}\n  by {:?}", plan(seed));
+                slowest_recovery = slowest_recovery.max(outcome.recovered_after.unwrap_or_default());
+                if let Some(violation) = outcome.violation {
+                    failed_plans += 1;
+                    println!("seed {seed}: {violation}\n  by {:?}", plan(seed));
                 }
             }
             Err(error) => {
-                broke += 1;
+                failed_plans += 1;
                 println!("seed {seed}: {error}");
             }
         }
     }
     let all: Vec<Plan> = (from..from + plans).map(plan).collect();
     println!(
-        "{plans} plans, {gateways} processes, {seats} seats: {broke} broke; {completed} statements completed; \
-         well again at the latest {slowest:.1?} after the last fault"
+        "{plans} plans, {gateways} processes, {voters} voters: {failed_plans} broke an invariant; {completed} statements \
+         completed; slowest recovery {slowest_recovery:.1?} after the last fault"
     );
     count_by_kind(all.iter()).iter().for_each(|(kind, count)| println!("  {kind:12} {count}"));
-    if broke == 0 {
+    if failed_plans == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
