--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -2,8 +2,8 @@
 //! processes: faults that can be injected into it, and the checks of the invariants against its records.
 
 use crate::relay::{Link, PathState, StreamState, TcpRelay, UdpRelay};
-use bramblewharf_gateway::machine_time;
-use bramblewharf_standins::{most_at_once, nobody, Works};
+use bramblewharf_gateway::boottime_now;
+use bramblewharf_standins::{max_concurrent, unused_address, TimedEngine};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -82,7 +82,7 @@
 /// it.
 pub(crate) fn reserve_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
-    SocketAddr::new(nobody().ip(), NEXT.fetch_add(1, Ordering::SeqCst))
+    SocketAddr::new(unused_address().ip(), NEXT.fetch_add(1, Ordering::SeqCst))
 }
 
 struct Process {
@@ -145,7 +145,7 @@
 /// The fleet with its engines, relays and files.
 pub struct World {
     pub spec: FleetSpec,
-    pub engines: Vec<Works>,
+    pub engines: Vec<TimedEngine>,
     gateways: Vec<Process>,
     /// Links between a gateway and a voter; the first side is the gateway's.
     links: BTreeMap<(usize, usize), UdpRelay>,
@@ -161,8 +161,9 @@
     pub fn new(spec: FleetSpec, program: &Path) -> io::Result<World> {
         let dir = tempfile::tempdir()?;
         fs::write(dir.path().join("key"), "the key of a fleet in the rig")?;
-        let engines: Vec<Works> =
-            (0..spec.engines).map(|_| Works::start(spec.statement_time, spec.orphan_retention)).collect();
+        let engines: Vec<TimedEngine> = (0..spec.engines)
+            .map(|_| TimedEngine::start(spec.statement_time, spec.orphan_retention))
+            .collect();
         let mut gateways = Vec::new();
         for _ in 0..spec.gateways {
             let relays: io::Result<Vec<TcpRelay>> =
@@ -442,7 +443,7 @@
 
     /// Number of executions that engines have started so far.
     pub fn started_executions(&self) -> usize {
-        self.engines.iter().map(|engine| engine.ran().len()).sum()
+        self.engines.iter().map(|engine| engine.executions().len()).sum()
     }
 
     /// Starts a gateway unless it runs, and returns once it accepts connections.
@@ -521,7 +522,7 @@
             let _ = child.wait();
         }
         if let Some(run) = self.gateways[at].runs.last_mut() {
-            run.ended_at = Some(machine_time());
+            run.ended_at = Some(boottime_now());
         }
     }
 
@@ -614,7 +615,7 @@
         let Some(run) = self.gateways[at].runs.last().filter(|run| run.ended_at.is_none()) else { return 0 };
         let facts = read_facts(&run.facts);
         let Some(last) = facts.iter().rev().find(|fact| fact["budget"].is_string()) else { return 0 };
-        let grant = if last["until_us"].as_u64() > Some(machine_time().as_micros() as u64) {
+        let grant = if last["until_us"].as_u64() > Some(boottime_now().as_micros() as u64) {
             &last["leave"]
         } else {
             &Value::Null
@@ -672,7 +673,7 @@
         if most > whole {
             return Err(format!("granted {most} of {whole}: (gateway, process run, share) {then:?}"));
         }
-        match most_at_once(self.engines.iter()) {
+        match max_concurrent(self.engines.iter()) {
             (most, at) if most as u64 > whole => Err(format!("{most} of {whole} in use at {at:?}")),
             _ => Ok(()),
         }
@@ -689,8 +690,8 @@
         std::thread::sleep(span);
         let to = Instant::now();
         let ran = self.engines.iter().flat_map(|engine| {
-            let keep = engine.keep;
-            engine.ran().into_iter().map(move |ran| (ran.began, ran.ended(keep)))
+            let keep = engine.orphan_retention;
+            engine.executions().into_iter().map(move |ran| (ran.began, ran.ended(keep)))
         });
         let busy: Duration =
             ran.map(|(began, ended)| ended.min(to).saturating_duration_since(began.max(from))).sum();
