--- a/crates/rig/tests/crowd.rs
+++ b/crates/rig/tests/crowd.rs
@@ -1,14 +1,15 @@
-//! More clients than a gateway may have connections, all of them at work.
+//! More active clients than a gateway accepts connections.
 
 use bramblewharf_rig::soak::Fleet;
 use std::path::Path;
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-/// Half as many again as the connections that the limits of the rig's gateways leave to clients.
+/// One and a half times the client connections that the limits of the rig's gateways allow.
 const CLIENTS: usize = 300;
 
-/// Guards against connections that wait to be accepted until their calls' time is over, as none of those that are open ends.
+/// Guards against connections that are accepted only after their requests' deadlines because no open
+/// connection is closed.
 #[test]
 fn who_waits_for_a_connection_gets_one_in_time() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
--- a/crates/rig/tests/ends.rs
+++ b/crates/rig/tests/ends.rs
@@ -1,4 +1,4 @@
-//! A process that is told to end is gone before the page's earliest SIGKILL, whatever its engines do meanwhile.
+//! After SIGTERM a process ends before the earliest documented SIGKILL, whatever its engines do.
 
 use bramblewharf_rig::soak::engine::Mode;
 use bramblewharf_rig::soak::faults::Fault;
@@ -13,16 +13,17 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// What happened: a gateway was still there when SIGKILL came, 3.7 s after SIGTERM (soak seed 426 with engines that read late, machine late by 7 ms
-/// at most). Why: 3.3 s for statements, 0.25 s for answers that nobody came for and 0.1 s for connections that nobody closed left 0.05 s for all
-/// else. Here a client is owed such an answer, and the process, if it is still there, stands still from 3.61 s
-/// on for 95 ms: whatever takes the last 90 ms takes too long.
+/// Guards against a gateway that still runs at SIGKILL, 3.7 s after SIGTERM (soak seed 426 with engines that
+/// read late, machine late by 7 ms at most). Its budgets of 3.3 s for statements, 0.25 s for answers that
+/// nobody polls and 0.1 s for connections that nobody closes left 0.05 s for the rest. Here an answer is
+/// never polled, and a process that still runs at 3.61 s is paused for 95 ms, so that a shutdown that needs
+/// the last 90 ms fails.
 #[test]
-fn a_process_that_owes_an_answer_nobody_comes_for_ends_in_its_time() {
+fn a_process_with_an_answer_that_nobody_polls_ends_in_time() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(1, 1, 2, program).unwrap();
     fleet.inject(Fault::Engine { engine: 0, mode: Mode::Slow(400 * MS), lasts: 60_000 * MS }).unwrap();
-    // These ask on their open connections until it is gone.
+    // These clients send requests on their open connections until the process ends.
     let clients = vec![fleet.clients(0, 8, 20 * MS)];
     fleet.run(500 * MS).unwrap();
     let text = "SELECT note FROM sales_1.orders";
@@ -33,21 +34,21 @@
     );
     fleet.gateways[0].terminate();
     fleet.run(2000 * MS).unwrap();
-    let resting = TcpStream::connect(fleet.gateways[0].address).unwrap();
+    let idle = TcpStream::connect(fleet.gateways[0].address).unwrap();
     let mut client = TcpStream::connect(fleet.gateways[0].address).unwrap();
     client.write_all(call.as_bytes()).unwrap();
-    // It is given a path to come back to, and does not.
+    // The client receives a poll path and does not use it.
     let mut reader = BufReader::new(client);
     let (_, _, body) = read_message(&mut reader).expect("an answer");
-    let told: Value = serde_json::from_slice(&body).unwrap();
-    assert!(told["link"].is_string(), "{told}");
+    let answer: Value = serde_json::from_slice(&body).unwrap();
+    assert!(answer["link"].is_string(), "{answer}");
     let terminated = fleet.gateways[0].runs[0].terminated_at.unwrap();
     fleet.run((terminated + 3610 * MS).saturating_duration_since(Instant::now())).unwrap();
     fleet.gateways[0].pause();
     std::thread::sleep(95 * MS);
     fleet.gateways[0].resume();
     fleet.run(KILL_AFTER_TERM - 3200 * MS).unwrap();
-    drop((reader, resting));
+    drop((reader, idle));
     let records = fleet.finish(clients).unwrap();
     let ended = records.gateways[0].runs[0].ended.map(|(at, exit)| (at - terminated, exit));
     println!("{ended:?}");
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_process_whose_engines_are_stopped_ends_in_its_time() {
+fn a_process_whose_engines_are_stopped_ends_in_time() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     for wait in [0, 300, 900, 1400] {
         let mut fleet = Fleet::start(1, 2, 2, program).unwrap();
--- a/crates/rig/tests/kills.rs
+++ b/crates/rig/tests/kills.rs
@@ -1,5 +1,5 @@
-//! Gateways that are killed while engines have not read what they sent: what is out counts until engines can't begin it any more, and
-//! the process after has its floor again soon.
+//! Gateways that are killed before engines have read what they sent: executions in flight count until engines
+//! can't start them any more, and the next process has its floor again soon.
 
 use bramblewharf_rig::relay::{PathState, StreamState};
 use bramblewharf_rig::world::{Clients, FleetSpec, World};
@@ -9,16 +9,18 @@
 const MS: Duration = Duration::from_millis(1);
 const CUT: PathState =
     PathState { cut: true, loss_percent: 0, duplicate_percent: 0, max_delay: Duration::ZERO };
-/// A gateway sends for so long what engines do not read yet: it has given none of it up when it is killed.
+/// How long a gateway sends statements that engines don't read; it has cancelled none of them when it is
+/// killed.
 const UNREAD: Duration = Duration::from_millis(200);
-/// What was sent is read no later than a lease, a quarter of it and the longest statement after it was sent.
+/// Engines read the statements this long after they were sent: within one and a quarter leases plus the
+/// longest statement.
 const READ_LATE: Duration = Duration::from_millis(1900);
-/// Statements that were read late run to their ends within this.
+/// Statements that were read late end within this time.
 const RUN: Duration = Duration::from_millis(700);
-/// How soon a gateway that starts again serves a statement where its engines are well.
+/// Time within which a restarted gateway must complete a statement.
 const SERVES_WITHIN: Duration = Duration::from_secs(1);
 
-/// A fleet in which all gateways but one have more to do than the whole, and that one nothing.
+/// A fleet in which all gateways but one idle gateway have more demand than the whole budget.
 struct Crowd {
     world: World,
     idle: usize,
@@ -29,7 +31,7 @@
     fn start(spec: FleetSpec, idle: usize) -> Crowd {
         let mut world = World::new(spec, Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"))).unwrap();
         world.start_all().unwrap();
-        world.wait_until("a keeper", |world| world.leader().is_some());
+        world.wait_until("a leader", |world| world.leader().is_some());
         let busy = (0..world.spec.gateways).filter(|at| *at != idle);
         let clients = busy.map(|at| world.clients(at, 16, 100 * MS)).collect();
         let crowd = Crowd { world, idle, clients };
@@ -37,7 +39,7 @@
         crowd
     }
 
-    /// The last gateway, which has no seat, is the one that is idle.
+    /// The last gateway, which is no voter, is idle; statements take half a second.
     fn of_half_a_second_each() -> Crowd {
         let spec = FleetSpec { statement_time: 500 * MS, ..FleetSpec::default() };
         let last = spec.gateways - 1;
@@ -52,7 +54,7 @@
         });
     }
 
-    /// The idle gateway sends as much as it may to these engines, which do not read it.
+    /// The idle gateway sends as much as it may to these engines, which don't read it.
     fn send_unread(&mut self, engines: &[usize]) {
         for engine in 0..self.world.spec.engines {
             let state = if engines.contains(&engine) { StreamState::Stalled } else { StreamState::Open };
@@ -62,14 +64,14 @@
         std::thread::sleep(UNREAD);
     }
 
-    /// Killed, and back at once; what is open to its engines by then goes on as the state says.
+    /// Kills the idle gateway and starts it at once, with its connections to engines in this state.
     fn kill_and_start(&mut self, state: StreamState) {
         self.world.kill(self.idle);
         self.world.set_streams_of_gateway(self.idle, state);
         self.world.start(self.idle).unwrap();
     }
 
-    /// Engines read what was sent, and the sum of what ran is checked.
+    /// Lets engines read what was sent at this time, and checks the invariants.
     fn read_at(&self, at: Instant) {
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
         self.world.set_streams_of_gateway(self.idle, StreamState::Open);
@@ -79,7 +81,7 @@
     }
 }
 
-/// Guards against a killed gateway's part that is free before engines have read what it sent.
+/// Guards against a killed gateway's grant that is free before engines have read what it sent.
 #[test]
 fn what_is_read_long_after_a_kill_is_counted() {
     let mut crowd = Crowd::of_half_a_second_each();
@@ -113,7 +115,8 @@
     }
 }
 
-/// Guards against a floor that is used though the record is gone or torn and engines have not shown that they read.
+/// Guards against a floor that is used though the record is gone or torn and engines have not shown that they
+/// read.
 #[test]
 fn without_its_record_a_gateway_waits_until_engines_answer() {
     for torn in [false, true] {
@@ -134,7 +137,7 @@
     }
 }
 
-/// Guards against a part that is free once a cut heals, before what was on its way has been read.
+/// Guards against a grant that is free once a cut ends, before statements in transit have been read.
 #[test]
 fn a_kill_during_a_cut_that_heals_late_breaks_nothing() {
     let mut crowd = Crowd::of_half_a_second_each();
@@ -147,7 +150,7 @@
     crowd.read_at(sent + READ_LATE);
 }
 
-/// Guards against a part that is held for ever by an engine that does not come back.
+/// Guards against a grant that is held forever by an engine that does not return.
 #[test]
 fn an_engine_that_is_gone_for_good_holds_nothing_of_a_killed_gateway() {
     let mut crowd = Crowd::of_half_a_second_each();
@@ -162,9 +165,9 @@
     crowd.world.assert_invariants();
 }
 
-/// Guards against the same fault where the killed gateway keeps the fleet's leave.
+/// Guards against the same fault where the killed gateway is the leader.
 #[test]
-fn what_a_killed_keeper_sent_is_counted() {
+fn what_a_killed_leader_sent_is_counted() {
     let spec = FleetSpec { statement_time: 500 * MS, ..FleetSpec::default() };
     let mut crowd = Crowd::start(spec, 0);
     crowd.idle = crowd.world.leader().unwrap();
@@ -174,7 +177,7 @@
     crowd.read_at(sent + READ_LATE);
 }
 
-/// Guards against a restart that leaves callers without the gateway's floor: it serves again at once, also beside an engine that hangs.
+/// Guards against a restart that leaves clients without the gateway's floor, also while an engine hangs.
 #[test]
 fn a_killed_gateway_serves_again_soon_also_beside_an_engine_that_hangs() {
     for hung in [&[][..], &[0]] {
@@ -194,7 +197,7 @@
     }
 }
 
-/// The checkers are checked: a process that takes for over what no engine has shown to be is found out.
+/// Tests the checks themselves: an injected bug that settles executions unconfirmed by engines must be found.
 #[test]
 fn a_part_that_is_settled_unheard_is_found() {
     let spec =
@@ -207,5 +210,5 @@
     std::thread::sleep((sent + READ_LATE).saturating_duration_since(Instant::now()));
     crowd.world.set_streams_of_gateway(last, StreamState::Open);
     std::thread::sleep(RUN);
-    assert!(crowd.world.check_invariants().is_err(), "more was in use than the whole, and nothing was seen");
+    assert!(crowd.world.check_invariants().is_err(), "more than the whole was in use and no check found it");
 }
--- a/crates/rig/tests/pauses.rs
+++ b/crates/rig/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! What comes while a gateway's process stands still is read before anybody is judged by the time that passed.
+//! After a pause of its process, a gateway reads what arrived meanwhile before it applies any timeout.
 
 use bramblewharf_rig::soak::engine::Mode;
 use bramblewharf_rig::soak::faults::Fault;
@@ -13,7 +13,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn asked(address: SocketAddr, call: &str) -> BufReader<TcpStream> {
+fn send_request(address: SocketAddr, call: &str) -> BufReader<TcpStream> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(10_000 * MS)).unwrap();
     stream.write_all(call.as_bytes()).unwrap();
@@ -25,10 +25,10 @@
     (first, serde_json::from_slice(&body).unwrap_or(Value::Null))
 }
 
-/// A client whose connection broke calls again in time, while the process is stopped; when that goes on, more time has passed than a
-/// client may stay away.
+/// A client whose connection closed polls again in time, during a pause of the process; when the process
+/// resumes, more time has passed than a client may take between two polls.
 #[test]
-fn a_client_that_came_back_during_a_pause_gets_its_answer() {
+fn a_client_that_polls_during_a_pause_gets_its_answer() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(1, 1, 2, program).unwrap();
     fleet.inject(Fault::Engine { engine: 0, mode: Mode::Slow(2800 * MS), lasts: 60_000 * MS }).unwrap();
@@ -39,31 +39,31 @@
          X-Org: acme\r\nContent-Length: {}\r\n\r\n{text}",
         text.len()
     );
-    let mut first = asked(address, &call);
-    let (_, told) = answer(&mut first);
-    let path = told["link"].as_str().expect("a path to come back to").to_string();
+    let mut first = send_request(address, &call);
+    let (_, body) = answer(&mut first);
+    let path = body["link"].as_str().expect("a poll path").to_string();
     drop(first);
-    // Engines end what nobody asks for in 2 s: the pause alone is shorter.
+    // Engines end statements that nobody polls for 2 s; the pause alone is shorter.
     fleet.run(900 * MS).unwrap();
     fleet.gateways.iter_mut().for_each(Gateway::pause);
     fleet.run(100 * MS).unwrap();
     let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n");
-    let mut again = asked(address, &get(&path));
+    let mut again = send_request(address, &get(&path));
     fleet.run(1250 * MS).unwrap();
     fleet.gateways.iter_mut().for_each(Gateway::resume);
     let last = loop {
-        let (status, told) = answer(&mut again);
-        match told["link"].as_str() {
+        let (status, body) = answer(&mut again);
+        match body["link"].as_str() {
             Some(path) => again.get_mut().write_all(get(path).as_bytes()).unwrap(),
-            None => break (status, told),
+            None => break (status, body),
         }
     };
     assert!(last.0.contains(" 200 ") && last.1["values"].is_array(), "{last:?}");
 }
 
-/// SIGTERM comes while the process is stopped, and SIGKILL at its time all the same.
+/// SIGTERM arrives during a pause, which does not delay the SIGKILL.
 #[test]
-fn a_process_told_to_end_during_a_pause_ends_within_its_time() {
+fn a_process_terminated_during_a_pause_ends_in_time() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(1, 2, 2, program).unwrap();
     let clients = vec![fleet.clients(0, 8, 20 * MS)];
@@ -81,9 +81,10 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Guards against a call that waited through two pauses, of which only the second is taken off its time.
+/// Guards against a request that waited through two pauses, of which only the second is excluded from its
+/// timeout.
 #[test]
-fn what_waited_through_two_pauses_in_a_row_has_the_time_of_both_taken_off() {
+fn both_of_two_pauses_in_a_row_are_excluded_from_timeouts() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(1, 1, 4, program).unwrap();
     let clients = vec![fleet.clients(0, 60, 20 * MS)];
@@ -93,7 +94,7 @@
             fleet.gateways[0].pause();
             fleet.run(400 * MS).unwrap();
             fleet.gateways[0].resume();
-            // Long enough to go on, too short to read all that came.
+            // Long enough to resume, too short to read everything that arrived.
             fleet.run(4 * MS).unwrap();
         }
         fleet.run(600 * MS).unwrap();
@@ -103,18 +104,18 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-/// Guards against what is decided before a pause and done after it: a process that is stopped in short turns keeps every rule while
-/// engines drain and clients leave.
+/// Guards against actions that are decided before a pause and performed after it: with many short pauses,
+/// every rule holds while engines drain and clients disconnect.
 #[test]
-fn a_process_stopped_in_short_turns_keeps_the_rules() {
+fn a_process_with_many_short_pauses_keeps_the_rules() {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     // With second copies allowed, and forbidden.
     for seed in [4, 5] {
-        stopped_in_short_turns(seed, program);
+        with_short_pauses(seed, program);
     }
 }
 
-fn stopped_in_short_turns(seed: u64, program: &Path) {
+fn with_short_pauses(seed: u64, program: &Path) {
     let mut fleet = Fleet::start(1, 4, seed, program).unwrap();
     let clients = vec![fleet.clients(0, 60, 20 * MS)];
     fleet.run(800 * MS).unwrap();
--- a/crates/rig/tests/signals.rs
+++ b/crates/rig/tests/signals.rs
@@ -1,5 +1,5 @@
-//! What gateways tell one another of engines, among several processes of the program: one that is silent is left to few trials
-//! and used again soon after, and one gateway that lies takes no engine from the others.
+//! Health gossip among several gateway processes: a silent engine gets few attempts and is used again soon
+//! after it recovers, and one gateway that sends false reports ejects no engine for the others.
 
 use bramblewharf_rig::relay::StreamState;
 use bramblewharf_rig::world::{Clients, FleetSpec, World};
@@ -32,7 +32,7 @@
     clients.iter().map(|clients| clients.counts.completed()).sum()
 }
 
-/// Statements that went to a silent engine within four seconds, and what became of all then.
+/// Number of connections to a silent engine within four seconds; the other engines must carry on meanwhile.
 fn lost_to_a_silent_engine(peers: bool) -> u64 {
     let world = world(peers);
     let clients = crowd(&world);
@@ -47,7 +47,7 @@
         "the other engines carry on: {}",
         completed(&clients) - before.1
     );
-    // Well again: all use it, within seconds.
+    // Once it recovers, all gateways use it again within seconds.
     world.set_streams_to_engine(0, StreamState::Open);
     let ran = world.engines[0].executions().len();
     world.wait_until("it is used again", |world| world.engines[0].executions().len() > ran + 40);
@@ -55,17 +55,17 @@
 }
 
 #[test]
-fn a_silent_engine_is_left_to_few_trials() {
-    let (alone, told) = (lost_to_a_silent_engine(false), lost_to_a_silent_engine(true));
-    println!("tried: {told} where told, {alone} alone");
+fn a_silent_engine_gets_few_attempts_with_gossip() {
+    let (without_gossip, with_gossip) = (lost_to_a_silent_engine(false), lost_to_a_silent_engine(true));
+    println!("connections: {with_gossip} with gossip, {without_gossip} without");
     assert!(
-        told * 4 < alone * 3,
-        "{told} tried it where gateways tell one another, {alone} where each finds out alone"
+        with_gossip * 4 < without_gossip * 3,
+        "{with_gossip} connections with gossip, {without_gossip} without"
     );
 }
 
 #[test]
-fn a_gateway_that_lies_takes_no_engine_from_the_others() {
+fn false_reports_of_one_gateway_eject_no_engine_for_the_others() {
     let world = world(true);
     let liar = UdpSocket::bind(world.test_peer).unwrap();
     let clients = crowd(&world);
@@ -87,7 +87,7 @@
     }
     let during = completed(&clients) - before - usual;
     for (engine, before) in world.engines.iter().zip(ran) {
-        assert!(engine.executions().len() > before + 20, "an engine is lost to a lie");
+        assert!(engine.executions().len() > before + 20, "false reports ejected an engine");
     }
     println!("completed: {during} beside the liar, {usual} before");
     assert!(during * 4 > usual * 3, "{during} completed beside the liar, {usual} before");
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak with a few seeds: processes of the program under random faults that overlap. By hand, with more of both:
-//! `bramblewharf-rig soak`.
+//! The soak test with a few seeds: gateway processes under overlapping random faults. `bramblewharf-rig soak`
+//! runs more seeds.
 
 use bramblewharf_rig::soak::{run, Size};
 use std::path::Path;
@@ -15,18 +15,18 @@
     duration: Duration::from_secs(6),
 };
 
-/// Seeds that are multiples of three have a crowd, odd ones forbid second copies.
+/// Seeds that are multiples of three include a crowd of idle connections; odd seeds forbid second copies.
 #[test]
 fn no_invariant_breaks_under_faults_that_overlap() {
-    hold(&[201, 202, 203, 204], SIZE);
+    assert_no_violations(&[201, 202, 203, 204], SIZE);
 }
 
 #[test]
 fn no_invariant_breaks_under_engines_that_read_late() {
-    hold(&[301, 303], Size { late_reads: 6, ..SIZE });
+    assert_no_violations(&[301, 303], Size { late_reads: 6, ..SIZE });
 }
 
-fn hold(seeds: &[u64], size: Size) {
+fn assert_no_violations(seeds: &[u64], size: Size) {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     for seed in seeds.iter().copied() {
         let report = run(seed, size, program).unwrap();
--- a/crates/rig/tests/stale_list.rs
+++ b/crates/rig/tests/stale_list.rs
@@ -1,5 +1,5 @@
-//! Incident 39: no statement goes to an engine that drains by a list that may no longer be true. Processes of the program, their
-//! own name service and engines, on loopback.
+//! Incident 39: no statement may be sent to a draining engine by an engine list that may be stale. Runs
+//! gateway processes with their own name service and engines on loopback.
 
 use bramblewharf_rig::soak::discovery::NameFaults;
 use bramblewharf_rig::soak::gateways::Gateway;
@@ -11,20 +11,20 @@
 const MS: Duration = Duration::from_millis(1);
 const GATEWAYS: usize = 3;
 
-/// Clients ask while `trouble` is done to the fleet and for a while after it; what did not hold.
-fn under(trouble: impl FnOnce(&mut Fleet)) -> Vec<Violation> {
+/// Runs clients during `fault` and for a while after it, and returns the violations.
+fn violations_under(fault: impl FnOnce(&mut Fleet)) -> Vec<Violation> {
     let program = Path::new(env!("CARGO_BIN_EXE_bramblewharf-rig"));
     let mut fleet = Fleet::start(GATEWAYS, 4, 2, program).unwrap();
     let clients = (0..GATEWAYS).map(|number| fleet.clients(number, 8, 25 * MS)).collect();
     fleet.run(1000 * MS).unwrap();
-    trouble(&mut fleet);
+    fault(&mut fleet);
     fleet.run(1000 * MS).unwrap();
     let records = fleet.finish(clients).unwrap();
-    assert!(records.requests.len() > 500, "clients ask all the time: {}", records.requests.len());
+    assert!(records.requests.len() > 500, "clients send requests all the time: {}", records.requests.len());
     records.judge()
 }
 
-fn of_drains(found: &[Violation]) -> Vec<String> {
+fn drain_violations(found: &[Violation]) -> Vec<String> {
     let drains = found.iter().filter(|violation| violation.invariant == Invariant::DrainKept);
     drains.map(ToString::to_string).collect()
 }
@@ -34,52 +34,52 @@
 }
 
 #[test]
-fn a_drain_that_falls_into_a_silence_of_the_name_service_is_kept() {
-    let found = under(|fleet| {
+fn a_drain_during_an_outage_of_the_name_service_is_kept() {
+    let found = violations_under(|fleet| {
         fleet.set_name_faults(None, &silent());
         fleet.drain_engine(0);
         fleet.run(3200 * MS).unwrap();
         fleet.set_name_faults(None, &NameFaults::default());
     });
-    assert!(found.is_empty(), "{} of drains: {found:#?}", of_drains(&found).len());
+    assert!(found.is_empty(), "{} of drains: {found:#?}", drain_violations(&found).len());
 }
 
 #[test]
-fn a_drain_that_falls_into_a_pause_of_the_process_is_kept() {
-    let found = under(|fleet| {
-        // An answer takes its time: the first one after the pause is not there before statements are.
+fn a_drain_during_a_pause_of_the_process_is_kept() {
+    let found = violations_under(|fleet| {
+        // Answers are late, so that statements arrive before the first answer after the pause.
         fleet.set_name_faults(None, &NameFaults { late: 100 * MS, ..NameFaults::default() });
         fleet.run(500 * MS).unwrap();
-        // Shorter than the time by which a drain counts as told, and longer.
-        for (place, pause) in [(0, 700 * MS), (1, 2100 * MS)] {
+        // One pause is shorter and one longer than the time after which a drain counts as known.
+        for (slot, pause) in [(0, 700 * MS), (1, 2100 * MS)] {
             fleet.gateways.iter_mut().for_each(Gateway::pause);
-            fleet.drain_engine(place);
+            fleet.drain_engine(slot);
             fleet.run(pause).unwrap();
             fleet.gateways.iter_mut().for_each(Gateway::resume);
             fleet.run(600 * MS).unwrap();
         }
     });
-    assert!(of_drains(&found).is_empty(), "{:#?}", of_drains(&found));
+    assert!(drain_violations(&found).is_empty(), "{:#?}", drain_violations(&found));
 }
 
 #[test]
-fn a_drain_told_on_a_path_that_has_died_is_kept() {
-    let found = under(|fleet| {
+fn a_drain_announced_on_a_dead_path_is_kept() {
+    let found = violations_under(|fleet| {
         fleet.set_name_faults(None, &NameFaults { dead_flows: true, ..NameFaults::default() });
         fleet.drain_engine(0);
         fleet.run(2000 * MS).unwrap();
     });
-    assert!(of_drains(&found).is_empty(), "{:#?}", of_drains(&found));
+    assert!(drain_violations(&found).is_empty(), "{:#?}", drain_violations(&found));
 }
 
 #[test]
-fn a_drain_told_under_an_earlier_number_is_kept() {
-    let found = under(|fleet| {
-        // The service was restarted and counts anew.
+fn a_drain_announced_with_a_lower_serial_is_kept() {
+    let found = violations_under(|fleet| {
+        // The name service was restarted and its serials begin anew.
         fleet.set_name_faults(None, &NameFaults { numbers_back: 3, ..NameFaults::default() });
         fleet.run(300 * MS).unwrap();
         fleet.drain_engine(0);
         fleet.run(3000 * MS).unwrap();
     });
-    assert!(of_drains(&found).is_empty(), "{:#?}", of_drains(&found));
+    assert!(drain_violations(&found).is_empty(), "{:#?}", drain_violations(&found));
 }
